--- a/proxy/src/main/java/amberhoist/cli/Main.java
+++ b/proxy/src/main/java/amberhoist/cli/Main.java
@@ -14,7 +14,7 @@
     if (args.length == 1 && args[0].equals("serve")) {
       Serving.serve(Sources.of(System.getenv()));
     } else if (args.length == 1 && args[0].equals("drill")) {
-      System.exit(amberhoist.drill.Main.run(args, System.in, System.out, System.err));
+      System.exit(amberhoist.simulator.Main.run(args, System.in, System.out, System.err));
     } else if (args.length == 2 && args[0].equals("rehearse")) {
       Rehearsal.main(args[1]);
     } else {
--- a/proxy/src/main/java/amberhoist/config/Config.java
+++ b/proxy/src/main/java/amberhoist/config/Config.java
@@ -6,7 +6,7 @@
 import amberhoist.decide.Balancer.Settings;
 import amberhoist.directory.Address;
 import amberhoist.directory.News;
-import amberhoist.drill.SettingsReader;
+import amberhoist.simulator.SettingsReader;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
--- a/proxy/src/main/java/amberhoist/drill/Commands.java
+++ b/proxy/src/main/java/amberhoist/simulator/Commands.java
@@ -1,4 +1,4 @@
-package amberhoist.drill;
+package amberhoist.simulator;
 
 import amberhoist.decide.Balancer;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/proxy/src/main/java/amberhoist/drill/Main.java
+++ b/proxy/src/main/java/amberhoist/simulator/Main.java
@@ -1,4 +1,4 @@
-package amberhoist.drill;
+package amberhoist.simulator;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/proxy/src/test/java/amberhoist/LimitsTest.java
+++ b/proxy/src/test/java/amberhoist/LimitsTest.java
@@ -43,7 +43,7 @@
           .filter(line -> !line.startsWith("import java.util.") && !line.startsWith("import amberhoist."))
           .toList();
       assertEquals(List.of(), foreign);
-      for (String word : List.of("currentTimeMillis", "nanoTime", "System.", "Thread.", "amberhoist.drill")) {
+      for (String word : List.of("currentTimeMillis", "nanoTime", "System.", "Thread.", "amberhoist.simulator")) {
         assertTrue(!text.contains(word), name + " uses " + word);
       }
       assertTrue(text.lines().noneMatch(line -> line.matches("\\s*(private )?static (?!final).*[=;]\\s*")));
--- a/proxy/src/test/java/amberhoist/drill/DrillTest.java
+++ b/proxy/src/test/java/amberhoist/simulator/DrillTest.java
@@ -1,4 +1,4 @@
-package amberhoist.drill;
+package amberhoist.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
