--- a/proxy/src/main/java/amberhoist/decide/Balancer.java
+++ b/proxy/src/main/java/amberhoist/decide/Balancer.java
@@ -4,89 +4,92 @@
 import java.util.Map;
 
 /**
- * The decisions of one balancer for long-lived connections: events go in through this interface, actions come
- * out through the {@link Actions} sink handed to {@link #start}.
+ * The decisions of one balancer for long-lived connections. The owner reports events through this interface and
+ * receives actions through the {@link Actions} that it passes to {@link #start}.
  *
- * <p>Time: every event carries the clock in microseconds; it never runs backwards within one life of a
- * balancer. Durations are microseconds too. The balancer reads no clock of its own and draws randomness only
- * from the seed.
+ * <p>Time: every event carries the clock time in microseconds, which never runs backwards during the life of a
+ * balancer. Durations are in microseconds too. The balancer reads no clock, and its only source of randomness is
+ * the seed.
  *
- * <p>Threading: one instance belongs to one thread at a time and shares nothing with others. Actions are
- * called synchronously, from within the event that caused them, in the order in which they are to take
- * effect. An implementation of {@code Actions} must not call back into the balancer.
+ * <p>Threading: an instance is confined to one thread at a time and shares no state with other instances. Actions
+ * are called synchronously from within the event that causes them, in the order in which they take effect. An
+ * implementation of {@link Actions} must not call back into the balancer.
  *
- * <p>Ordering: {@link #start} comes once, before anything else ({@link IllegalStateException} otherwise).
- * Requests may arrive before the first list; they are held. Events that name a finished or unknown request or
- * server are ignored, because in a real proxy they cross with the answer on their way.
+ * <p>Ordering: {@link #start} comes once, before any other event ({@link IllegalStateException} otherwise).
+ * Requests may arrive before the first server list; they are queued. Events that name a finished or unknown request
+ * or server are ignored, because in a proxy they can cross with an action that is already on its way.
  */
 public interface Balancer {
 
-  /** What the balancer wants done. Each call takes effect at the time of the event that caused it. */
+  /** Receives the balancer's decisions. Each call takes effect at the time of the event that caused it. */
   interface Actions {
     /**
-     * Starts the request's next attempt (numbered 0, 1, 2, ... in this order) on a server. It is to be
-     * reported as {@link Outcome#TIMED_OUT} when it has not opened within {@code timeout}, at the latest at
-     * the deadline.
+     * Starts the request's next attempt on a server. Attempts are numbered 0, 1, 2, ... in order. An attempt that has
+     * not been established within {@code timeoutMicros}, or by the deadline if that is earlier, must be reported as
+     * {@link Outcome#TIMED_OUT}.
      */
-    void send(long request, String server, long timeout);
+    void send(long requestId, String serverName, long timeoutMicros);
 
-    /** Final answer: refused, trying again is harmless; {@code retryAfter} 0 gives no advice. */
-    void refuse(long request, long retryAfter);
+    /**
+     * Final answer: the request is rejected, and retrying it is safe. A {@code retryAfterMicros} of 0 means that no
+     * retry-after is given.
+     */
+    void refuse(long requestId, long retryAfterMicros);
 
-    /** Final answer: failed. Promises nothing about what has run. */
-    void fail(long request);
+    /** Final answer: the request failed. Whether it ran on a server is unknown. */
+    void fail(long requestId);
 
-    /** Ends an open connection politely, so that its client connects anew. Its {@link #ended} still comes. */
-    void move(long request);
+    /** Ends an open connection gracefully so that its client reconnects. {@link #ended} still follows. */
+    void move(long requestId);
 
-    /** Asks the list service for changes from now on; answered by {@link #members}. */
+    /** Subscribes to changes of the server list; answered by {@link #members}. */
     void subscribe();
 
-    /** Asks a server for its load report; answered by {@link #report}, unless none can be had. */
-    void ask(String server);
+    /** Requests a server's load report; answered by {@link #report}, or not at all if no report is available. */
+    void ask(String serverName);
 
-    /** Wants {@link #timer} called with this token at the given clock time or soon after. */
+    /** Schedules a call of {@link #timer} with this token, at the given clock time or shortly after it. */
     void timer(long at, long token);
 
-    /** A line for the operator's log. */
+    /** Writes a line to the operator's log. */
     void log(String message);
   }
 
-  /** How often an effect may happen. */
+  /** How often the effect of a request may occur. */
   enum Effect {
-    /** May be repeated at will. */
+    /** The request may be repeated freely. */
     SAFE,
-    /** Repeats are dropped by a group of servers, for a time. */
+    /** A group of servers drops repeats of the request for a limited time. */
     KEYED,
-    /** Must not run twice. */
+    /** The request must not run twice. */
     UNSAFE
   }
 
-  /** Which servers drop the repeats of a {@link Effect#KEYED} request. */
+  /** Which servers drop repeats of a {@link Effect#KEYED} request. */
   enum Scope {
     ALL,
     ZONE,
     CELL
   }
 
-  /** How an attempt or a probe ended. */
+  /** How an attempt ended. */
   enum Outcome {
     SERVED(false),
     ERROR(false),
-    /** Turned away unseen. */
+    /** The server rejected the attempt without processing it. */
     FULL(true),
     TIMED_OUT(false),
     CONNECT_FAILED(true),
     RESET(false),
     CANCELLED(false),
-    /** Never sent. */
+    /** The attempt was dropped before it was sent. */
     MOOT(true);
 
     /** Whether this outcome proves that the attempt never ran. */
     public final boolean neverRan;
 
-    /** Whether a set-up that ended so has failed: not where it was served, or given up for no fault of the server. */
-    boolean failsSetUp() {
+    /** Whether a setup with this outcome counts as failed: it was neither served, nor cancelled, nor left unsent. */
+    boolean isSetupFailure() {
       return this != SERVED && this != CANCELLED && this != MOOT;
     }
 
@@ -95,19 +98,19 @@
     }
   }
 
-  /** What a list event brings. */
+  /** The content of a server list event. */
   enum ListKind {
     /** Only the servers that changed. */
     CHANGES,
-    /** All servers; those missing are gone. */
+    /** All servers; servers that are missing from the list are gone. */
     FULL,
-    /** All servers as last known here, perhaps long ago. */
+    /** All servers from a local copy of the list, which may be old. */
     STALE,
-    /** A call to the list service failed or the subscription broke; the old list still holds. */
+    /** A call to the list service failed or the subscription broke; the previous list remains in use. */
     FAILED
   }
 
-  /** Whether a server takes work. */
+  /** Whether a server accepts new connections. */
   enum State {
     READY,
     DRAINING,
@@ -117,35 +120,38 @@
   /**
    * One server of the list.
    *
-   * @param name opaque, the same at every balancer
-   * @param zone where it stands
-   * @param kind the machine kind
-   * @param cell the set of servers that remember each other's keys
-   * @param size a figure to compare servers by; one that is not positive means unknown and counts as 1
-   * @param since clock time of its latest start, 0 when long ago
+   * @param name opaque name, the same at every balancer
+   * @param zone the zone in which the server runs
+   * @param kind the machine type
+   * @param cell the set of servers that recognize each other's request keys
+   * @param size capacity relative to other servers; a value that is not positive means unknown and is stored as 1
+   * @param since clock time of the latest start, 0 if that is long ago
    */
   record Server(String name, String zone, String kind, int cell, State state, double size, long since) {
-    /** Refuses a server without a name or state, or with a start before the clock began. */
+    /** Throws {@link IllegalArgumentException} if the name or state is missing or the start time is negative. */
     public Server {
       if (name == null || name.isEmpty() || state == null || since < 0) {
-        throw new IllegalArgumentException("a server needs a name, a state and a start that is not negative");
+        throw new IllegalArgumentException("a server requires a name, a state and a start time that is not negative");
       }
       size = size > 0 ? size : 1;
     }
 
-    /** The same server in another state and with another start. */
-    Server as(State other, long start) {
-      return new Server(name, zone, kind, cell, other, size, start);
+    /** Returns a copy of this server with another state and start time. */
+    Server withState(State newState, long startedAt) {
+      return new Server(name, zone, kind, cell, newState, size, startedAt);
     }
   }
 
   /**
-   * One request for a connection. Texts may be null where absent.
+   * One request for a connection. Strings are null if absent.
    *
-   * @param deadline clock time at which the client gives up
-   * @param hint expected load in microseconds of work a second, 0 when unknown
-   * @param group connections of one group share work on a server
-   * @param returning the client is back after a break or a move
+   * @param type name of the request class
+   * @param client key of the client, for affinity
+   * @param deadline clock time after which the client no longer waits
+   * @param hint expected load in microseconds of work per second, 0 if unknown
+   * @param group name of the group; connections of one group share work on a server
+   * @param retry whether the client has sent this request before
+   * @param returning whether the client reconnects after an interruption or a move
    */
   record Request(long id, String type, String tenant, String client, long deadline, double hint, String group,
       boolean retry, boolean returning) {}
@@ -153,140 +159,158 @@
   /**
    * A request class.
    *
-   * @param aim set up within this time
-   * @param window for {@link Effect#KEYED}: how long repeats are dropped after the first attempt
-   * @param worth what one request is worth
-   * @param messageAim a message of an open connection is wanted within this time, 0 when unstated
+   * @param aim target for the setup time of a connection, in microseconds
+   * @param window for {@link Effect#KEYED}: time after the first attempt during which repeats are dropped, in
+   *     microseconds
+   * @param worth value of one request
+   * @param messageAim target for the time of a message on an open connection, in microseconds; 0 if not specified
    */
   record RequestClass(String name, Effect effect, Scope scope, long aim, long window, double worth,
       double messageAim) {}
 
   /**
-   * What connections are worth, for when there is not room for all.
+   * The value of connections, which decides between them when the capacity does not suffice for all.
    *
-   * @param byWork worth grows with a connection's load; otherwise all of one class are worth the same
-   * @param overShare the part, from 0 to 1, that is left of it beyond a tenant's share
-   * @param shares open connections by tenant, over all balancers together, that its share covers; no limit where absent
+   * @param byWork whether the value grows with a connection's load; otherwise all connections of a class have the
+   *     same value
+   * @param overShare factor from 0 to 1 for the value of connections beyond their tenant's share
+   * @param shares open connections that each tenant's share covers, summed over all balancers; a tenant that is absent
+   *     has no limit
    */
   record Value(boolean byWork, double overShare, Map<String, Double> shares) {
+    /** Equal value for all connections of a class, and no tenant shares. */
     public static final Value NONE = new Value(false, 1, Map.of());
 
-    /** Refuses a part that is not from 0 to 1. */
+    /** Throws {@link IllegalArgumentException} if the factor is outside 0 to 1. */
     public Value {
       if (!(overShare >= 0 && overShare <= 1)) {
-        throw new IllegalArgumentException("worth beyond a share is a part from 0 to 1");
+        throw new IllegalArgumentException("worth beyond a share must be from 0 to 1");
       }
       shares = Map.copyOf(shares);
     }
   }
 
   /**
-   * What is fixed for the balancer's life.
+   * The settings of a balancer. Times are in microseconds.
    *
    * @param zone the balancer's own zone
-   * @param index its number among {@code balancers}, from 0
-   * @param subscribe whether list changes come only after {@link Actions#subscribe}
-   * @param askWithin without a subscription, the list counts as known when it is this old
-   * @param maxAttempts the most attempts of one request; two are never out together
-   * @param maxRetryAfter the longest advice that clients honour, 0 for none
-   * @param crossZonePrice what crossing zones with a request costs, as a part of its worth
-   * @param movePrice what moving a connection costs, in the same unit
-   * @param coldShare a server starts at this share of its capacity, or higher
-   * @param coldTime and is warm after this time
-   * @param coldMultiple sent more than this multiple of its present capacity ...
-   * @param coldWindow ... for this long, it falls over
-   * @param value what connections are worth
-   * @param reports whether servers may be asked for their load reports
+   * @param index the balancer's index among all {@code balancers}, from 0
+   * @param balancers number of balancers
+   * @param classes the request classes
+   * @param subscribe whether list changes arrive only after {@link Actions#subscribe}
+   * @param askWithin age up to which the list counts as known without a subscription
+   * @param maxAttempts maximum number of attempts of one request; at most one of them is in flight at a time
+   * @param maxRetryAfter maximum retry-after that clients honour, 0 if they honour none
+   * @param crossZonePrice cost of sending a request to another zone, as a fraction of the request's value
+   * @param movePrice cost of moving a connection, in the same unit
+   * @param coldShare fraction of its capacity that a server has at least when it starts
+   * @param coldTime time after its start at which a server is warm
+   * @param coldMultiple a cold server fails when it receives more than this multiple of its present capacity ...
+   * @param coldWindow ... for this time
+   * @param value the value of connections
+   * @param reports whether servers can be asked for load reports
    */
   record Settings(String zone, int index, int balancers, List<RequestClass> classes, boolean subscribe,
       long askWithin, int maxAttempts, long maxRetryAfter, double crossZonePrice, double movePrice,
       double coldShare, long coldTime, double coldMultiple, long coldWindow, Value value, boolean reports) {
-    /** Refuses what no deployment can mean, such as negative times or a cold multiple of 0. */
+    /** Throws {@link IllegalArgumentException} if a value is missing or out of range, such as a negative time. */
     public Settings {
       if (zone == null || classes == null || balancers < 1 || maxAttempts < 1) {
-        throw new IllegalArgumentException("a zone, classes, a balancer and an attempt are needed");
+        throw new IllegalArgumentException(
+            "settings require a zone, request classes, at least one balancer and at least one attempt");
       }
       if (value == null) {
-        throw new IllegalArgumentException("worths are needed, or NONE");
+        throw new IllegalArgumentException("settings require the value of connections");
       }
       if (askWithin < 0 || maxRetryAfter < 0 || coldTime < 0 || coldWindow < 0) {
         throw new IllegalArgumentException("times must not be negative");
       }
       if (!(coldShare >= 0 && coldShare <= 1) || !(coldMultiple > 0) || !(crossZonePrice >= 0)
           || !(movePrice >= 0)) {
-        throw new IllegalArgumentException("cold share from 0 to 1, cold multiple over 0, prices from 0 on");
+        throw new IllegalArgumentException(
+            "the cold share must be from 0 to 1, the overload factor positive, and prices not negative");
       }
     }
   }
 
-  /** Begins the balancer's life. */
+  /** Starts the balancer. */
   void start(long now, Settings settings, long seed, Actions actions);
 
-  /** Other settings, from now on; requests that came before keep the aims of their class. */
+  /** Replaces the settings. Requests that arrived earlier keep the targets of their class. */
   void configure(long now, Settings settings);
 
-  /** News of the server list, in order and with none skipped. */
+  /** The server list was updated. Updates arrive in order, and none is skipped. */
   void members(long now, ListKind kind, List<Server> servers);
 
   /**
-   * A server is taken out by hand: whatever the list says of it, it gets nothing new until {@link #resume}, and what
-   * stands there is moved. Twice out is out once; the server may be unknown so far.
+   * An operator suspends a server: whatever its state in the list, it gets no new connections until {@link #resume},
+   * and its open connections are moved. Suspending it again has no further effect; the server may be unknown.
    */
-  void suspend(long now, String server);
+  void suspend(long now, String serverName);
 
-  /** A server taken out is called back, most likely restarted: it is cold, and nothing known of it holds. */
-  void resume(long now, String server);
+  /** Resumes a suspended server. It was probably restarted, so it counts as cold and all that was learned is reset. */
+  void resume(long now, String serverName);
 
-  /** These clients, by their keys, stood at these servers until now and are about to come here. The map is used up. */
-  void bind(long now, Map<String, String> clients);
+  /**
+   * Adds affinity entries for clients that were connected elsewhere until now and are expected here.
+   *
+   * @param serverByClient server names by client key; modified, and not to be used by the caller afterwards
+   */
+  void bind(long now, Map<String, String> serverByClient);
 
-  /** A connection already open on {@code server} at the start; attempt 0 counts as sent and open. */
-  void handover(long now, Request request, String server);
+  /** A connection was already open on a server at the start; its attempt 0 counts as sent and established. */
+  void handover(long now, Request request, String serverName);
 
   /**
-   * A new request; from here on one final answer is owed before its deadline. An id still in use is refused
-   * ({@link IllegalStateException}).
+   * A new request arrived; it gets one final answer before its deadline.
+   *
+   * @throws IllegalStateException if the id is still in use
    */
   void request(long now, Request request);
 
-  /** An attempt's connection stands. */
-  void opened(long now, long request, int attempt, long latency);
+  /** An attempt's connection was established. */
+  void opened(long now, long requestId, int attempt, long latencyMicros);
 
   /**
-   * An attempt ended; comes exactly once for each {@link Actions#send}.
+   * An attempt ended; called exactly once for each {@link Actions#send}.
    *
-   * @param closed the request is finished, by this outcome or earlier; otherwise the answer is still owed
+   * @param requestFinished whether the request has its final answer, by this outcome or earlier; otherwise the answer
+   *     is still due
    */
-  void ended(long now, long request, int attempt, Outcome outcome, long latency, boolean closed);
+  void ended(long now, long requestId, int attempt, Outcome outcome, long latencyMicros, boolean requestFinished);
 
-  /** An open connection's load is now this much, in microseconds of work a second. */
-  void load(long now, long request, int attempt, double load);
+  /** The load of an open connection changed; in microseconds of work per second. */
+  void load(long now, long requestId, int attempt, double load);
 
-  /** Messages at the server of this connection now take {@code micros}. */
-  void delay(long now, long request, int attempt, double micros);
+  /** Messages at the server of this connection currently take {@code delayMicros}. */
+  void delay(long now, long requestId, int attempt, double delayMicros);
 
   /**
-   * A server's load report, asked for by {@link Actions#ask}.
+   * A server's load report arrived, requested by {@link Actions#ask}.
    *
-   * @param heat the load asked of it over what it can do, from 0 on; over 1 work piles up
+   * @param utilization the server's demand over its capacity, not negative; above 1 work queues
    */
-  void report(long now, String server, double heat);
+  void report(long now, String serverName, double utilization);
 
   /**
-   * Whether an attempt whose connection has come up is still to be sent; where not, it ends as {@link Outcome#MOOT}.
-   * Time has passed since it was decided on: its server may have been taken out, or the window of repeats be over.
+   * Returns whether an attempt whose connection is ready should still be sent; if not, it ends as
+   * {@link Outcome#MOOT}. Since the decision its server may have been suspended, or the time during which repeats are
+   * dropped may have ended.
    */
-  boolean confirms(long now, long request);
+  boolean confirms(long now, long requestId);
 
-  /** No more attempts are to be made: what is held is answered now, and what is out when it ends. */
+  /** Starts no further attempts: queued requests are answered now, and those with an attempt in flight when it ends. */
   void close(long now);
 
-  /** The client has left, or the answer is overdue; none is owed any more. Attempts still out still end. */
-  void departed(long now, long request);
+  /**
+   * The client disconnected, or the time for the answer expired; no answer is due any more. Attempts in flight still
+   * end with {@link #ended}.
+   */
+  void departed(long now, long requestId);
 
-  /** Whether this server gets nothing new now, by its state or by the balancer's own choice. */
-  boolean avoids(long now, String server);
+  /** Returns whether a server gets no new connections at present, by its state or by the balancer's own decision. */
+  boolean avoids(long now, String serverName);
 
-  /** A timer asked for is due. */
+  /** A scheduled timer fired. */
   void timer(long now, long token);
 }
--- a/proxy/src/main/java/amberhoist/decide/Ledger.java
+++ b/proxy/src/main/java/amberhoist/decide/Ledger.java
@@ -7,144 +7,147 @@
 import java.util.List;
 import java.util.Map;
 
-/** What {@link Policy} keeps in mind: plain records and counts that decide nothing, private to the module. */
+/**
+ * The state that {@link Policy} keeps about servers, requests and groups. These types hold records and counts and make
+ * no decisions. Clock times are in microseconds.
+ */
 final class Ledger {
-  private static final long NEVER = Long.MIN_VALUE / 2; // the clock may begin at 0
+  private static final long NEVER = Long.MIN_VALUE / 2; // the clock may start at 0
 
   private Ledger() {}
 
-  /** What this balancer knows of a server. */
-  static final class Node {
+  /** What this balancer knows about a server. */
+  static final class TrackedServer {
     Server info;
-    boolean ready;
-    double weight;
-    double rank; // for the group whose order is being drawn up
-    int open;
-    double load;
-    final Map<Group, Integer> groups = new HashMap<>(); // connections of each held here
-    int settingUp;
-    int strikes;
-    long avoidUntil;
-    boolean sheds; // has dropped a connection just set up, and kept none since
-    long provenAt = Long.MAX_VALUE; // when the latest one let in on trial will have been kept
-    double slow;
-    long slowAt;
-    long trialAt; // when it got a connection while it had none
-    double growth; // of it, a second for each second: what is asked beyond what the server can do
-    long relievedAt;
-    boolean cold;
-    double luck; // how many connections it may hold beyond its due while cold
-    double cap = Double.MAX_VALUE;
-    long tryAt = Long.MAX_VALUE; // called back by hand and not proven since: when it gets one connection
-    double budget;
-    long budgetAt;
-    double heat; // of what it can do, asked of it: as its latest report said
-    long toldAt = NEVER; // when that came
-    long askedAt = NEVER;
-
-    /** Whether a report is no older than this. */
-    boolean known(long now, long age) {
-      return now - toldAt < age;
+    boolean inRotation;
+    double effectiveCapacity; // less than the full capacity while cold
+    double groupRank; // for the group whose servers are being ranked
+    int connections; // those being set up included
+    double load; // microseconds of work per second
+    final Map<ConnectionGroup, Integer> groupConnections = new HashMap<>();
+    int setupsInFlight;
+    int consecutiveFailures;
+    long ejectedUntil;
+    boolean dropsNewConnections; // has dropped a newly established connection and kept none since
+    long probeKeptAt = Long.MAX_VALUE; // when the latest probe connection counts as kept
+    double queueingDelayMicros;
+    long delayReportedAt;
+    long firstConnectionAt; // when it last got a connection while it had none
+    double delayGrowth; // seconds of delay per second: demand in excess of what the server can do
+    long offloadedAt;
+    boolean isCold;
+    double coldExtraConnections; // beyond the fair share while cold
+    double loadLimit = Double.MAX_VALUE;
+    long resumeProbeAt = Long.MAX_VALUE; // when a resumed server that is still unproven gets one connection
+    double warmUpBudget; // setups
+    long warmUpBudgetAt;
+    double utilization; // demand over capacity in the latest load report
+    long reportedAt = NEVER;
+    long reportRequestedAt = NEVER;
+
+    /** Whether the latest load report is younger than {@code maxAgeMicros}. */
+    boolean hasRecentReport(long now, long maxAgeMicros) {
+      return now - reportedAt < maxAgeMicros;
     }
 
-    /** Counts so many more of a group's connections; how many more groups are held here by that. */
-    int hold(Group group, int more) {
-      int before = groups.size();
-      if (groups.merge(group, more, Integer::sum) == 0) {
-        groups.remove(group);
+    /** Adds {@code count} connections of a group; returns by how much the number of groups on this server changed. */
+    int addConnections(ConnectionGroup group, int count) {
+      int before = groupConnections.size();
+      if (groupConnections.merge(group, count, Integer::sum) == 0) {
+        groupConnections.remove(group);
       }
-      return groups.size() - before;
+      return groupConnections.size() - before;
     }
 
-    boolean onTrial(long now) {
-      return sheds && provenAt < Long.MAX_VALUE && now < provenAt;
+    boolean isProbing(long now) {
+      return dropsNewConnections && probeKeptAt < Long.MAX_VALUE && now < probeKeptAt;
     }
   }
 
   /** The affinity entry of a client. */
-  record Entry(Node node, long lastUsed) {}
+  record AffinityEntry(TrackedServer server, long lastUsed) {}
 
-  /** A group of connections: requests seen, the turn of its walks and its own rotation. */
-  static final class Group {
-    List<Node> order;
-    double seen;
-    private double turn;
+  /** A group of connections, with its recent requests, the offset of its latest search and its ranking of servers. */
+  static final class ConnectionGroup {
+    List<TrackedServer> rankedServers; // null until needed
+    double recentRequests;
+    private double offset;
 
-    Group(double turn) {
-      this.turn = turn;
+    ConnectionGroup(double offset) {
+      this.offset = offset;
     }
 
-    /** Sees one more request; its turn, a step behind the one before. */
-    double meet(double step) {
-      seen++;
-      turn = (turn + step) % 1;
-      return turn;
+    /** Counts one more request and returns its offset, from 0 to 1, one step after the previous one. */
+    double countRequest(double step) {
+      recentRequests++;
+      offset = (offset + step) % 1;
+      return offset;
     }
   }
 
-  /** A number from 0, exclusive, to 1 that is the same for the same two names everywhere, and looks like chance. */
-  static double mix(String first, String second) {
-    long mixed = first.hashCode() * 0x9E3779B97F4A7C15L;
-    mixed ^= second.hashCode() * 0xC2B2AE3D27D4EB4FL;
-    mixed = (mixed ^ mixed >>> 29) * 0xBF58476D1CE4E5B9L;
-    return Math.max(((mixed ^ mixed >>> 32) >>> 11) / (double) (1L << 53), 1e-15);
+  /** Hashes two names to a number above 0 and below 1 that is the same at every balancer and evenly distributed. */
+  static double hashToFraction(String first, String second) {
+    long hash = first.hashCode() * 0x9E3779B97F4A7C15L;
+    hash ^= second.hashCode() * 0xC2B2AE3D27D4EB4FL;
+    hash = (hash ^ hash >>> 29) * 0xBF58476D1CE4E5B9L;
+    return Math.max(((hash ^ hash >>> 32) >>> 11) / (double) (1L << 53), 1e-15);
   }
 
-  /** How many come in a microsecond, of late. */
-  static final class Rate {
-    private final double memory; // microseconds
-    private double value;
-    private long at;
+  /** A rate of events per microsecond, averaged with exponential decay. */
+  static final class DecayingRate {
+    private final double memoryMicros;
+    private double perMicro;
+    private long updatedAt;
 
-    Rate(double memory) {
-      this.memory = memory;
+    DecayingRate(double memoryMicros) {
+      this.memoryMicros = memoryMicros;
     }
 
-    double at(long now) {
-      value *= Math.exp((at - now) / memory);
-      at = now;
-      return value;
+    double valueAt(long now) {
+      perMicro *= Math.exp((updatedAt - now) / memoryMicros);
+      updatedAt = now;
+      return perMicro;
     }
 
     void add(long now, double count) {
-      value = at(now) + count / memory;
+      perMicro = valueAt(now) + count / memoryMicros;
     }
   }
 
-  /** The usual load of a class, from the loads told so far. */
-  static final class Usual {
-    double load;
-    int told;
+  /** The typical load of the connections of a class, averaged over the loads reported so far. */
+  static final class TypicalLoad {
+    double mean; // microseconds of work per second
+    int samples;
 
-    void learn(double next, int kept) {
-      told++;
-      load += (next - load) / Math.min(told, kept);
+    void add(double load, int maxSamples) {
+      samples++;
+      mean += (load - mean) / Math.min(samples, maxSamples);
     }
   }
 
   /** A request from its arrival to the end of its connection. */
-  static final class Job {
+  static final class TrackedRequest {
     Request request;
-    RequestClass type;
-    Group group;
-    double load;
-    double turn;
-    boolean told; // the load, by its server or as a hint
-    long arrived;
-    long openedAt;
+    RequestClass requestClass;
+    ConnectionGroup group;
+    double load; // microseconds of work per second
+    double offset; // among the preferred servers of the group
+    boolean loadKnown; // from a load report or from the request's hint
+    long arrivedAt;
+    long establishedAt;
     int attempts;
-    int out;
-    boolean open;
+    int unendedAttempts; // in flight or established
+    boolean established;
     boolean answered;
-    boolean reset;
+    boolean ignoresAffinity;
     boolean moved;
-    boolean foreign; // not at a home of its group
+    boolean outsidePreferred; // not on a preferred server of its group
     boolean mayHaveRun;
-    long ranAt;
-    Server ranOn;
-    Node node;
-    Node failedOn;
+    long mayHaveRunAt;
+    Server mayHaveRunOn;
+    TrackedServer server;
+    TrackedServer failedServer;
     int errors;
-    Node accused; // struck for this request's first error
+    TrackedServer blamedServer; // got a failure recorded for this request's first error
   }
 }
--- a/proxy/src/main/java/amberhoist/decide/Policy.java
+++ b/proxy/src/main/java/amberhoist/decide/Policy.java
@@ -1,11 +1,11 @@
 package amberhoist.decide;
 
-import amberhoist.decide.Ledger.Entry;
-import amberhoist.decide.Ledger.Group;
-import amberhoist.decide.Ledger.Job;
-import amberhoist.decide.Ledger.Node;
-import amberhoist.decide.Ledger.Rate;
-import amberhoist.decide.Ledger.Usual;
+import amberhoist.decide.Ledger.AffinityEntry;
+import amberhoist.decide.Ledger.ConnectionGroup;
+import amberhoist.decide.Ledger.DecayingRate;
+import amberhoist.decide.Ledger.TrackedRequest;
+import amberhoist.decide.Ledger.TrackedServer;
+import amberhoist.decide.Ledger.TypicalLoad;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -16,791 +16,960 @@
 import java.util.Map;
 import java.util.Random;
 
-/** All decisions, by affinity polling; Balancer.java has every type, event and action. Read {@link #pick} first: an
- * unexpired affinity entry decides, otherwise the rotation with its load check. {@link #usable} has the exceptions. */
+/**
+ * The balancer's decisions, by affinity and rotation. Balancer.java defines all types, events and actions.
+ *
+ * <p>The central method is {@link #selectServer}: an unexpired affinity entry decides; without one the rotation does,
+ * with a check of the load. {@link #isUsable} lists the conditions under which a server is passed over.
+ */
 public final class Policy implements Balancer {
-  // Settings. Times in microseconds; parts and multiples have no unit.
-  static final long TTL = 60_000_000; // entry lifetime: outlives a client's pauses, not another day's visit
-  static final long TICK = 20_000; // between looks at what is held or overdue: well below any aim
-  static final long LOOK = 100_000; // between looks at all servers: hundreds of them cost little so
-  static final long SWEEP = 10_000_000; // between sweeps of old entries: often enough to bound the memory
-  static final long MARGIN = 2 * TICK; // an answer comes this long before the deadline: a batch may come late
-  static final long LEAST_TRY = 50_000; // least time worth giving a further attempt: a few round trips
-  static final double FIRST_ASK = 0.25; // of the time a list holds without asking: when the first ask comes
-  static final long LIST_WAIT = 500_000; // first wait after a failed list call, doubled with each failure
-  static final long LIST_WAIT_MOST = 8_000_000; // but no longer than this, lest the list grows too old
-  static final double COLD_CAUTION = 0.8; // part of the cold budget used: capacity is a guess, chance bunches
-  static final double MEMORY = 30_000_000; // of the rate of finished connections: spans a dozen at full size
-  static final double CROWDED = 0.33; // of the shortest aim: messages this slow crowd a server, pass it by
-  static final double JAMMED = 0.5; // messages this slow jam a server: some connections must go
-  static final double FULL = 1.0; // messages this slow are of no worth: nothing is added, whatever waits
-  static final long SLOW_MEMORY = 2_500_000; // a slow note holds this long: they come once a second
-  static final double SECOND = 1_000_000; // slow notes come so often: what has piled up is to be worked off by the next
-  static final double CAP_PART = 0.7; // of the load under which a server jams or sheds, its cap is at most
-  static final double CAP_GROWTH = 14_000_000; // a learned cap grows e-fold in this time while not slow
-  static final double CAP_FLOOR = 0.5; // of the due load: with less than this, load is not the cause
-  static final double BOUND = 1.5; // of its due part a home takes: all balancers fill the same homes
-  static final double GRAIN = 2; // and so many connections more, a cold one a part of one: all add theirs
-  static final double SPAN = 0.5; // of a group's due servers, over which the starts of its walks are spread
-  static final double GOLDEN = 0.618034; // step between the starts of a group's walks: spreads them evenly
-  static final double SPREAD = 1.5; // a group's homes hold this multiple of its load at their due part
-  static final double SPREAD_BLIND = 2.5; // for one of many with no reports, who cannot see which home is full
-  static final double GROUPS_KEPT = 0.85; // of the counts by group at each sweep: a minute's memory
-  static final double PRIOR = 9; // requests' worth of belief that a group not seen yet is a tenth of all
-  static final int LEAST_HOMES = 3; // so that when one home fails its clients do not all go to one other
-  static final double GROUP_COST = 4; // mean loads that a server pays for a group, as a guess: no setting tells it
-  static final long AVOID = 500_000; // a server with a failed set-up is passed by; doubled with each strike
-  static final int MOST_STRIKES = 6; // no longer than some seconds: a server that is back must be found out
-  static final double TRUST_MOST = 20; // set-ups that may fail, net, before set-ups are throttled: half of it
-  static final double TRUST_GAIN = 1.5; // for each that stands: recovery doubles the set-ups, and no faster
-  static final double TRUST_DRIP = 0.2e-6; // a microsecond: a trial each 5 s of many balancers is little load
-  static final double FEW = 4; // balancers; many share the shared call, so each takes a part of what one of few does
-  static final double WINDOW_FIRST = 10; // set-ups out at once, until their latency says otherwise
-  static final double WINDOW_LEAST = 2;
-  static final double WINDOW_MOST = 100;
-  static final double WINDOW_CUT = 0.7; // of the window, when set-ups grow slow
-  static final double CUT_MOST = 0.3; // no one failure cuts by more: it may be the server's own
-  static final long PACE_MOST = 20_000_000; // between set-ups: what is known of the shared call is old by then
-  static final double HOLD_PART = 0.5; // of a client's wait that a request may queue: it must still be set up
-  static final int LEAST_LOADS = 5; // told of a class before its usual load counts
-  static final int LOADS_KEPT = 100; // in that figure: few enough to follow the hours of a day
-  static final double HOT = 0.85; // of what a server can do, asked of it: from here on some connections must go
-  static final double COOL = 0.8; // and so much stays: messages are in time at nearly all of such servers
-  static final double ELSEWHERE = 0.1; // a home in another zone must be so much cooler: crossing has its price
-  static final double LEAST_HEAT = 0.25; // of warm servers on average: a few reports may miss the busy ones
-  static final long FRESH = 3_000_000; // a report counts so long: loads swing within some seconds
-  static final long ASK_WAIT = 4 * TICK; // for reports, before a first attempt: round trips to another zone
-  static final double ASK_RATE = 0.1e-6; // reports a microsecond for each connection here: of each server in seconds
-  static final double RESERVE = 0.6; // of a learned cap, kept from what is worth nothing, less from what is worth more
-  static final long CLEAR = 2_000_000; // a server taken out is clear of its clients by then, one called back is tried
-  static final long YOUNG = 3_000_000; // a reset before this age is a failed set-up: servers shed the newest
-
-  private static final RequestClass UNKNOWN = new RequestClass("", Effect.UNSAFE, Scope.CELL, 0, 0, 1, 0);
-
-  private final Map<String, Node> nodes = new LinkedHashMap<>();
-  private final List<Node> rotation = new ArrayList<>();
-  private final Map<String, Entry> entries = new LinkedHashMap<>();
-  private final Map<String, Long> out = new HashMap<>(); // servers taken out by hand, since when
-  private final Map<String, Group> groups = new LinkedHashMap<>();
-  private final Map<Long, Job> jobs = new LinkedHashMap<>();
-  private final Map<String, RequestClass> types = new HashMap<>();
-  private ArrayDeque<Job> held = new ArrayDeque<>();
+  // Times are in microseconds, as the names say; fractions and factors have no unit.
+
+  /** Lifetime of an affinity entry: outlives the pauses of a client, but not until its visit on another day. */
+  static final long TTL = 60_000_000;
+  /** Interval between checks of queued requests and deadlines: well below any setup target. */
+  static final long TICK = 20_000;
+  /** Interval between scans of all servers: long enough for scans of hundreds of servers to cost little. */
+  static final long LOOK = 100_000;
+  /** Interval between removals of old entries: short enough to bound the memory. */
+  static final long SWEEP = 10_000_000;
+  /** How long before the deadline an answer is given, since a batch of events may come late. */
+  static final long ANSWER_MARGIN_MICROS = 2 * TICK;
+  /** Minimum time left for a further attempt: a few round trips. */
+  static final long MIN_RETRY_TIME_MICROS = 50_000;
+
+  /** Fraction of the time for which a list counts as known after which the first subscription is made at the latest. */
+  static final double FIRST_ASK = 0.25;
+  /** Base wait after a failed call to the list service; doubled with each further failure. */
+  static final long LIST_WAIT = 500_000;
+  /** Maximum base wait after a failed call to the list service, so that the list does not become too old. */
+  static final long MAX_LIST_RETRY_MICROS = 8_000_000;
+
+  /** Fraction of the warm-up budget in use: the capacity is an estimate, and random arrivals cluster. */
+  static final double WARM_UP_BUDGET_FRACTION = 0.8;
+  /** Averaging time for the rate of finished connections: spans about a dozen of them at full size. */
+  static final double COMPLETION_RATE_MEMORY_MICROS = 30_000_000;
+
+  /** Fraction of the shortest message target; a server whose messages take longer gets no new connections. */
+  static final double AVOID_DELAY_FRACTION = 0.33;
+  /** Fraction of the shortest message target; a server whose messages take this long is offloaded in part. */
+  static final double OFFLOAD_DELAY_FRACTION = 0.5;
+  /**
+   * Fraction of the shortest message target; messages that take this long have no value, so nothing is added, even
+   * if requests are queued.
+   */
+  static final double MAX_DELAY_FRACTION = 1.0;
+  /** How long a delay report remains valid; one arrives each second. */
+  static final long SLOW_MEMORY = 2_500_000;
+  /** Interval between delay reports; queued work is to be finished by the next one. */
+  static final double SECOND = 1_000_000;
+
+  /** Maximum of a load limit, as a fraction of the load at which the server was overloaded or dropped connections. */
+  static final double LOAD_LIMIT_FRACTION = 0.7;
+  /** Time in which a lowered load limit grows by a factor of e while the server is not overloaded. */
+  static final double LOAD_LIMIT_GROWTH_MICROS = 14_000_000;
+  /** Lower bound of a load limit, as a fraction of the fair share: with less than this, load is not the cause. */
+  static final double MIN_LOAD_LIMIT_FRACTION = 0.5;
+
+  /** Multiple of its fair share that a preferred server accepts, since all balancers fill the same ones. */
+  static final double FAIR_SHARE_FACTOR = 1.5;
+  /** Connections accepted beyond the fair share, by a cold server a random part of them: all balancers add theirs. */
+  static final double EXTRA_CONNECTIONS = 2;
+  /** Range of offsets into the preferred servers of a group, as a fraction of the servers that its load requires. */
+  static final double OFFSET_RANGE_FRACTION = 0.5;
+  /** Step between the offsets of a group's requests; the golden ratio distributes them evenly. */
+  static final double OFFSET_STEP = 0.618034;
+  /** The preferred servers of a group hold this multiple of the group's load at their fair share. */
+  static final double GROUP_SPREAD_FACTOR = 1.5;
+  /** The same in a large fleet without load reports, where a balancer cannot see which preferred server is full. */
+  static final double GROUP_SPREAD_NO_REPORTS = 2.5;
+  /** Factor for the request counts of groups at each removal of old entries: a memory of one minute. */
+  static final double GROUP_COUNT_DECAY = 0.85;
+  /** Weight, in requests, of the prior assumption that a new group accounts for a tenth of all requests. */
+  static final double PRIOR_REQUESTS = 9;
+  /** Minimum number of preferred servers: if one fails, its clients do not all go to the same other server. */
+  static final int LEAST_HOMES = 3;
+  /** Load that a group costs a server, in mean connection loads: an estimate, since no setting states it. */
+  static final double GROUP_COST_MEAN_LOADS = 4;
+
+  /** How long a server is ejected after a failed setup; doubled with each consecutive failure. */
+  static final long BASE_EJECTION_MICROS = 500_000;
+  /** Maximum number of failures counted: limits an ejection to some seconds, so that a recovered server is noticed. */
+  static final int MAX_CONSECUTIVE_FAILURES = 6;
+
+  /** Maximum number of retry tokens; setups are throttled when net failures have used half of them. */
+  static final double MAX_RETRY_TOKENS = 20;
+  /** Tokens gained by a successful setup: during recovery setups double at most. */
+  static final double RETRY_TOKENS_PER_SUCCESS = 1.5;
+  /** Tokens gained over time: one setup every 5 s from each of many balancers is little load. */
+  static final double RETRY_TOKENS_PER_MICRO = 0.2e-6;
+
+  /**
+   * Maximum number of balancers of a small fleet. Every setup calls the shared store, so a balancer of a larger fleet
+   * takes only a fraction of what one of a small fleet does.
+   */
+  static final double FEW = 4;
+  /** Initial setup concurrency limit, until the latency of setups is known. */
+  static final double WINDOW_FIRST = 10;
+  static final double MIN_SETUP_LIMIT = 2;
+  static final double MAX_SETUP_LIMIT = 100;
+  /** Factor for the setup limit when setups become slow. */
+  static final double SETUP_LIMIT_DECREASE = 0.7;
+  /** Smallest factor that one failure applies to the setup limit: the failure may be the server's own. */
+  static final double MIN_SETUP_LIMIT_DECREASE = 0.3;
+  /** Maximum time between setups: by then, what is known about the shared store is out of date. */
+  static final long MAX_SETUP_SPACING_MICROS = 20_000_000;
+
+  /** Fraction of a client's wait for which a request may be queued, since the setup itself still takes time. */
+  static final double MAX_QUEUED_FRACTION = 0.5;
+  /** Number of loads reported for a class before its typical load is used. */
+  static final int MIN_LOAD_SAMPLES = 5;
+  /** Number of loads over which the typical load is averaged: few enough to follow changes within a day. */
+  static final int MAX_LOAD_SAMPLES = 100;
+
+  /** Utilization from which on a server is overloaded, and some of its connections are moved. */
+  static final double HOT = 0.85;
+  /** Utilization that remains after offloading: nearly all servers at this level meet the message target. */
+  static final double COOL = 0.8;
+  /** Difference in utilization that justifies a server in another zone, because crossing zones has a cost. */
+  static final double CROSS_ZONE_PENALTY = 0.1;
+  /** Lower bound for the mean utilization of warm servers, because a few reports may miss the busy ones. */
+  static final double MIN_WARM_UTILIZATION = 0.25;
+  /** How long a load report remains valid: loads vary within a few seconds. */
+  static final long FRESH = 3_000_000;
+  /** Maximum wait for load reports before a first attempt: covers round trips to another zone. */
+  static final long ASK_WAIT = 4 * TICK;
+  /** Rate of load report requests per connection: each server is asked every few seconds. */
+  static final double REPORT_REQUESTS_PER_MICRO = 0.1e-6;
+
+  /** Fraction of a load limit reserved from connections of no value; less is reserved from more valuable ones. */
+  static final double LOAD_LIMIT_RESERVE_FRACTION = 0.6;
+  /** Time within which a suspended server loses its connections, and within which a resumed one is probed. */
+  static final long CLEAR = 2_000_000;
+  /** A reset before this age counts as a failed setup, because servers drop their newest connections first. */
+  static final long YOUNG = 3_000_000;
+
+  private static final RequestClass UNKNOWN_CLASS = new RequestClass("", Effect.UNSAFE, Scope.CELL, 0, 0, 1, 0);
+
+  private final Map<String, TrackedServer> servers = new LinkedHashMap<>();
+  private final List<TrackedServer> rotation = new ArrayList<>();
+  private final Map<String, AffinityEntry> affinityEntries = new LinkedHashMap<>();
+  private final Map<String, Long> suspendedAt = new HashMap<>(); // by server name
+  private final Map<String, ConnectionGroup> groups = new LinkedHashMap<>();
+  private final Map<Long, TrackedRequest> requests = new LinkedHashMap<>();
+  private final Map<String, RequestClass> requestClasses = new HashMap<>();
+  private ArrayDeque<TrackedRequest> queued = new ArrayDeque<>();
   private Settings settings;
   private Actions actions;
   private Random random;
-  private double shortestAim = Double.MAX_VALUE;
+  private double minMessageTargetMicros = Double.MAX_VALUE;
   private double totalLoad;
-  private int pairs; // of a server and a group that it holds any of
-  private double totalSize; // of all ready servers, cold ones at their present part
-  private double warmSize; // of those that are warm
-  private double warmHeat = 1; // asked of warm servers on average, as a part of what they can do
-  private final Map<String, Integer> tenants = new HashMap<>(); // open connections
-  private final Map<String, Usual> usuals = new HashMap<>();
+  private int serverGroupPairs; // pairs of a server and a group that has connections on it
+  private double totalCapacity; // of all servers in the rotation, cold ones at their present capacity
+  private double warmCapacity; // of the warm servers in the rotation
+  private double warmUtilization = 1; // mean over the warm servers
+  private final Map<String, Integer> tenantConnections = new HashMap<>(); // open connections
+  private final Map<String, TypicalLoad> typicalLoads = new HashMap<>();
   private double meanLoad = 10_000;
-  private double mostWorth = 1; // of a unit of load, in any class
-  private int index;
-  private final Rate rate = new Rate(MEMORY); // of finished connections
-  private double seen;
-  private double trust = TRUST_MOST;
-  private long trustAt;
-  private int settingUp;
-  private double share; // of what one of few balancers may do to the shared call
+  private double maxValue = 1; // of a unit of load, over all classes
+  private int nextIndex; // in the rotation
+  private final DecayingRate completionRate = new DecayingRate(COMPLETION_RATE_MEMORY_MICROS);
+  private double recentGroupedRequests;
+  private double retryTokens = MAX_RETRY_TOKENS;
+  private long retryTokensAt;
+  private int setupsInFlight;
+  private double fleetShare; // of the use of the shared store that a balancer of a small fleet may make
   private boolean closing; // no more attempts
-  private boolean asks; // for reports: one of many carries too little to know the servers by
-  private double window;
-  private long nextAt; // the next set-up, while less than one may be out on average
-  private long cutAt;
-  private double setUpAim = Double.MAX_VALUE;
-  private long lookAt;
-  private long nextSweep;
-  private long askAt;
-  private long listWait = LIST_WAIT;
+  private boolean usesLoadReports; // in a large fleet, where own connections are too few to judge servers by
+  private double setupLimit;
+  private long nextSetupAt; // while the setup limit is below one
+  private long setupLimitLoweredAt;
+  private double minSetupTargetMicros = Double.MAX_VALUE;
+  private long nextScanAt;
+  private long nextSweepAt;
+  private long subscribeAt;
+  private long listRetryMicros = LIST_WAIT;
 
   @Override
-  public void start(long now, Settings given, long seed, Actions sink) {
+  public void start(long now, Settings newSettings, long seed, Actions sink) {
     if (settings != null) {
-      throw new IllegalStateException("started twice");
+      throw new IllegalStateException("balancer was already started");
     }
-    if (given == null || sink == null) {
-      throw new IllegalArgumentException("settings and actions are needed");
+    if (newSettings == null || sink == null) {
+      throw new IllegalArgumentException("settings and actions must not be null");
     }
     actions = sink;
     random = new Random(seed);
-    take(given);
-    trustAt = now;
-    window = WINDOW_FIRST * share;
-    nextSweep = now + SWEEP;
-    index = random.nextInt(1 << 16); // the rotation's length is not known yet
-    long spread = (long) (random.nextDouble() * given.askWithin() * FIRST_ASK); // not all in one second
-    askAt = given.subscribe() ? now + spread : Long.MAX_VALUE;
+    applySettings(newSettings);
+    retryTokensAt = now;
+    setupLimit = WINDOW_FIRST * fleetShare;
+    nextSweepAt = now + SWEEP;
+    nextIndex = random.nextInt(1 << 16); // taken modulo the length of the rotation, which is not known yet
+    // random, so that the balancers do not all subscribe within the same second
+    long subscribeDelayMicros = (long) (random.nextDouble() * newSettings.askWithin() * FIRST_ASK);
+    subscribeAt = newSettings.subscribe() ? now + subscribeDelayMicros : Long.MAX_VALUE;
     actions.timer(now + TICK, 0);
   }
 
   @Override
-  public void configure(long now, Settings given) {
-    started();
-    take(given);
-    askAt = given.subscribe() ? askAt : Long.MAX_VALUE;
-    rebuild(now);
+  public void configure(long now, Settings newSettings) {
+    requireStarted();
+    applySettings(newSettings);
+    subscribeAt = newSettings.subscribe() ? subscribeAt : Long.MAX_VALUE;
+    rebuildRotation(now);
   }
 
-  private void take(Settings given) {
-    settings = given;
-    share = Math.min(1, FEW / given.balancers());
-    asks = given.reports() && share < 1;
-    types.clear();
-    shortestAim = setUpAim = Double.MAX_VALUE;
-    for (RequestClass type : given.classes()) {
-      setUpAim = Math.min(setUpAim, type.aim());
-      types.put(type.name(), type);
-      shortestAim = type.messageAim() > 0 ? Math.min(shortestAim, type.messageAim()) : shortestAim;
+  private void applySettings(Settings newSettings) {
+    settings = newSettings;
+    fleetShare = Math.min(1, FEW / newSettings.balancers());
+    usesLoadReports = newSettings.reports() && fleetShare < 1;
+    requestClasses.clear();
+    minMessageTargetMicros = minSetupTargetMicros = Double.MAX_VALUE;
+    for (RequestClass type : newSettings.classes()) {
+      minSetupTargetMicros = Math.min(minSetupTargetMicros, type.aim());
+      requestClasses.put(type.name(), type);
+      minMessageTargetMicros = type.messageAim() > 0 ? Math.min(minMessageTargetMicros, type.messageAim())
+          : minMessageTargetMicros;
     }
   }
 
-  private void started() {
+  private void requireStarted() {
     if (settings == null) {
-      throw new IllegalStateException("start must come first");
+      throw new IllegalStateException("balancer was not started");
     }
   }
 
   @Override
-  public void members(long now, ListKind kind, List<Server> servers) {
-    started();
+  public void members(long now, ListKind kind, List<Server> listed) {
+    requireStarted();
     if (kind == ListKind.FAILED) {
-      askAt = now + listWait + (long) (random.nextDouble() * listWait);
-      listWait = Math.min(2 * listWait, LIST_WAIT_MOST);
+      subscribeAt = now + listRetryMicros + (long) (random.nextDouble() * listRetryMicros);
+      listRetryMicros = Math.min(2 * listRetryMicros, MAX_LIST_RETRY_MICROS);
       return;
     }
     if (kind != ListKind.STALE && settings.subscribe()) {
-      listWait = LIST_WAIT;
-      askAt = Long.MAX_VALUE; // the subscription holds until a list event says that it failed
+      listRetryMicros = LIST_WAIT;
+      subscribeAt = Long.MAX_VALUE; // the subscription is valid until a list event reports a failure
     }
-    Map<String, Node> missing = new LinkedHashMap<>(kind == ListKind.CHANGES ? Map.of() : nodes);
-    for (Server server : servers) {
-      missing.remove(server.name());
-      told(now, nodes.computeIfAbsent(server.name(), name -> new Node()), server);
+    Map<String, TrackedServer> missing = new LinkedHashMap<>(kind == ListKind.CHANGES ? Map.of() : servers);
+    for (Server info : listed) {
+      missing.remove(info.name());
+      updateInfo(now, servers.computeIfAbsent(info.name(), name -> new TrackedServer()), info);
     }
-    missing.values().forEach(node -> told(now, node, node.info.as(State.GONE, node.info.since())));
-    rebuild(now);
-    retryHeld(now);
+    missing.values().forEach(server -> updateInfo(now, server, server.info.withState(State.GONE, server.info.since())));
+    rebuildRotation(now);
+    retryQueued(now);
   }
 
-  /** What a list says of a server. A list may be old: the latest start stays, and so, if need be, a drain. */
-  private void told(long now, Node node, Server server) {
-    long since = node.info == null ? 0 : node.info.since();
-    if (node.info == null || server.since() > since) {
-      node.luck = GRAIN * random.nextDouble();
-      node.budget = random.nextDouble(); // many balancers, each with a part of one connection to spare
-      node.budgetAt = now;
+  /** Updates a server from a list entry. The list may be old, so the latest start time stays, with the state listed. */
+  private void updateInfo(long now, TrackedServer server, Server info) {
+    long startedAt = server.info == null ? 0 : server.info.since();
+    if (server.info == null || info.since() > startedAt) {
+      server.coldExtraConnections = EXTRA_CONNECTIONS * random.nextDouble();
+      server.warmUpBudget = random.nextDouble(); // many balancers may each use a fraction of one connection
+      server.warmUpBudgetAt = now;
     }
-    node.info = server.since() < since ? server.as(server.state(), since) : server;
+    server.info = info.since() < startedAt ? info.withState(info.state(), startedAt) : info;
   }
 
-  /** Lists the servers to send to in the same order everywhere; entries bound to others go. */
-  private void rebuild(long now) {
-    nodes.values().forEach(node -> node.ready = node.info.state() == State.READY && !out.containsKey(node.info.name()));
+  /** Rebuilds the rotation in an order that is the same at every balancer, and removes entries of other servers. */
+  private void rebuildRotation(long now) {
+    servers.values().forEach(server -> server.inRotation =
+        server.info.state() == State.READY && !suspendedAt.containsKey(server.info.name()));
     rotation.clear();
-    nodes.values().stream().filter(node -> node.ready).forEach(rotation::add);
-    rotation.sort(Comparator.comparing(node -> node.info.name()));
-    nodes.values().removeIf(node -> !node.ready && node.open == 0 && node.info.state() == State.GONE);
-    entries.values().removeIf(entry -> !entry.node().ready);
-    groups.values().forEach(group -> group.order = null);
-    weigh(now);
+    servers.values().stream().filter(server -> server.inRotation).forEach(rotation::add);
+    rotation.sort(Comparator.comparing(server -> server.info.name()));
+    servers.values().removeIf(server -> !server.inRotation && server.connections == 0
+        && server.info.state() == State.GONE);
+    affinityEntries.values().removeIf(entry -> !entry.server().inRotation);
+    groups.values().forEach(group -> group.rankedServers = null);
+    updateCapacities(now);
   }
 
   @Override
-  public void suspend(long now, String server) {
-    out.putIfAbsent(server, now);
-    rebuild(now);
+  public void suspend(long now, String serverName) {
+    suspendedAt.putIfAbsent(serverName, now);
+    rebuildRotation(now);
   }
 
-  /** Called back, a server is a cold one of which nothing is known: most likely it was restarted. */
+  /** A resumed server was most likely restarted, so it counts as cold and nothing learned about it is kept. */
   @Override
-  public void resume(long now, String server) {
-    Node old = out.remove(server) == null ? null : nodes.remove(server);
-    if (old != null) {
-      Node node = new Node();
-      nodes.put(server, node);
-      told(now, node, old.info.as(old.info.state(), now));
-      node.budget = 1; // for the trial
-      node.tryAt = now + (long) (random.nextDouble() * CLEAR);
-      rebuild(now);
+  public void resume(long now, String serverName) {
+    TrackedServer previous = suspendedAt.remove(serverName) == null ? null : servers.remove(serverName);
+    if (previous != null) {
+      TrackedServer server = new TrackedServer();
+      servers.put(serverName, server);
+      updateInfo(now, server, previous.info.withState(previous.info.state(), now));
+      server.warmUpBudget = 1; // for the probe
+      server.resumeProbeAt = now + (long) (random.nextDouble() * CLEAR);
+      rebuildRotation(now);
     }
   }
 
   @Override
-  public void handover(long now, Request request, String server) {
-    started();
-    Job job = job(now, request);
-    job.open = true;
-    rate.add(now, 0.5);
-    Node node = nodes.get(server);
-    bind(now, job, node);
-    record(now, request.client(), node);
+  public void handover(long now, Request request, String serverName) {
+    requireStarted();
+    TrackedRequest tracked = track(now, request);
+    tracked.established = true;
+    completionRate.add(now, 0.5);
+    TrackedServer server = servers.get(serverName);
+    assign(now, tracked, server);
+    recordAffinity(now, request.client(), server);
   }
 
   @Override
   public void request(long now, Request request) {
-    started();
-    place(now, job(now, request));
-  }
-
-  private Job job(long now, Request request) {
-    Job job = new Job();
-    if (jobs.putIfAbsent(request.id(), job) != null) {
-      throw new IllegalStateException("request id in use: " + request.id());
-    }
-    job.request = request;
-    job.type = types.getOrDefault(request.type(), UNKNOWN);
-    job.group = request.group() == null ? null : groups.computeIfAbsent(request.group(),
-        name -> new Group(random.nextDouble()));
-    job.told = request.hint() > 0;
-    job.load = job.told ? request.hint() : usual(job.type);
-    seen += job.group == null ? 0 : 1;
-    job.turn = job.group == null ? 0 : job.group.meet(GOLDEN);
-    job.arrived = now;
-    return job;
-  }
-
-  /** Sends a request that has no attempt out, holds it for a better moment, or answers it. */
-  private void place(long now, Job job) {
-    long left = job.request.deadline() - now;
-    if (closing || job.errors > 1 || job.attempts >= settings.maxAttempts()
-        || left <= MARGIN + (job.attempts == 0 ? 0 : LEAST_TRY)) {
-      answer(now, job);
+    requireStarted();
+    dispatch(now, track(now, request));
+  }
+
+  private TrackedRequest track(long now, Request request) {
+    TrackedRequest tracked = new TrackedRequest();
+    if (requests.putIfAbsent(request.id(), tracked) != null) {
+      throw new IllegalStateException("request id is already in use: " + request.id());
+    }
+    tracked.request = request;
+    tracked.requestClass = requestClasses.getOrDefault(request.type(), UNKNOWN_CLASS);
+    tracked.group = request.group() == null ? null : groups.computeIfAbsent(request.group(),
+        name -> new ConnectionGroup(random.nextDouble()));
+    tracked.loadKnown = request.hint() > 0;
+    tracked.load = tracked.loadKnown ? request.hint() : typicalLoad(tracked.requestClass);
+    recentGroupedRequests += tracked.group == null ? 0 : 1;
+    tracked.offset = tracked.group == null ? 0 : tracked.group.countRequest(OFFSET_STEP);
+    tracked.arrivedAt = now;
+    return tracked;
+  }
+
+  /** Starts an attempt for a request that has none in flight, queues the request, or answers it. */
+  private void dispatch(long now, TrackedRequest tracked) {
+    long timeLeft = tracked.request.deadline() - now;
+    if (closing || tracked.errors > 1 || tracked.attempts >= settings.maxAttempts()
+        || timeLeft <= ANSWER_MARGIN_MICROS + (tracked.attempts == 0 ? 0 : MIN_RETRY_TIME_MICROS)) {
+      rejectOrFail(now, tracked);
       return;
     }
-    boolean queued = throttled(now); // its turn comes, so it may wait longer than one that nobody can take
-    Node node = queued || asking(now, job) ? null : pick(now, job);
-    boolean hopeless = rotation.isEmpty() && !out.isEmpty(); // all taken out by hand: nobody comes back soon
-    long waited = now - job.arrived;
-    if (node != null) {
-      send(now, job, node, left);
-    } else if (!hopeless && (waited < job.type.aim() || queued && waited < HOLD_PART * (waited + left))) {
-      held.add(job);
+    boolean throttled = isThrottled(now); // will get its turn, so it may wait longer than one that no server can take
+    TrackedServer server = throttled || awaitsReports(now, tracked) ? null : selectServer(now, tracked);
+    boolean allSuspended = rotation.isEmpty() && !suspendedAt.isEmpty(); // no server is expected back soon
+    long waited = now - tracked.arrivedAt;
+    if (server != null) {
+      startAttempt(now, tracked, server, timeLeft);
+    } else if (!allSuspended && (waited < tracked.requestClass.aim()
+        || throttled && waited < MAX_QUEUED_FRACTION * (waited + timeLeft))) {
+      queued.add(tracked);
     } else {
-      answer(now, job);
+      rejectOrFail(now, tracked);
     }
   }
 
-  /** Whether reports of its homes are on their way. Guards against one of many taking busy servers for free ones. */
-  private boolean asking(long now, Job job) {
-    if (!asks || job.group == null || job.attempts > 0 || now > job.arrived + ASK_WAIT) {
+  /**
+   * Whether load reports of the preferred servers are still expected. Without them, a balancer of a large fleet would
+   * take busy servers for free ones.
+   */
+  private boolean awaitsReports(long now, TrackedRequest tracked) {
+    if (!usesLoadReports || tracked.group == null || tracked.attempts > 0 || now > tracked.arrivedAt + ASK_WAIT) {
       return false;
     }
-    List<Node> first = homes(now, job).stream().limit(LEAST_HOMES).toList();
-    first.stream().filter(home -> now - Math.max(home.toldAt, home.askedAt) >= FRESH).forEach(home -> ask(now, home));
-    return first.stream().anyMatch(home -> home.askedAt > home.toldAt && now - home.askedAt < ASK_WAIT);
+    List<TrackedServer> first = preferredServers(now, tracked).stream().limit(LEAST_HOMES).toList();
+    first.stream().filter(server -> now - Math.max(server.reportedAt, server.reportRequestedAt) >= FRESH)
+        .forEach(server -> requestReport(now, server));
+    return first.stream().anyMatch(server -> server.reportRequestedAt > server.reportedAt
+        && now - server.reportRequestedAt < ASK_WAIT);
   }
 
-  private void ask(long now, Node node) {
-    node.askedAt = now;
-    actions.ask(node.info.name());
+  private void requestReport(long now, TrackedServer server) {
+    server.reportRequestedAt = now;
+    actions.ask(server.info.name());
   }
 
-  /** Guards against a hot server keeping what it has: each of many moves its own part of what is too much there. */
+  /** Offloads an overloaded server: each balancer of a large fleet moves its own part of the excess. */
   @Override
-  public void report(long now, String server, double heat) {
-    Node node = nodes.get(server);
-    if (node != null) {
-      node.heat = heat;
-      node.toldAt = now;
-      relieve(now, node, heat > HOT ? node.load * (1 - COOL / heat) : 0, false);
-      retryHeld(now);
-    }
-  }
-
-  /** Retry throttling. Guards against a storm that feeds itself: a late set-up takes trust, one in time gives some. */
-  private boolean throttled(long now) {
-    trust = Math.min(TRUST_MOST, trust + TRUST_DRIP * (now - trustAt));
-    trustAt = now;
-    return settingUp >= window || now < nextAt || trust < TRUST_MOST / 2 && trust < 1 + settingUp;
-  }
-
-  /** Learns how many set-ups may be out: what the shared call cannot take queues there until all of it times out. */
-  private void learnWindow(long now, boolean slow, double latency) {
-    if (!slow) {
-      window = Math.min(WINDOW_MOST, Math.sqrt(window * window + 2 * share)); // many see few successes each
-    } else if (now - cutAt > latency) { // those sent before the last cut say nothing new
-      double unseen = latency > setUpAim ? Math.max(1, 1 / window) : 1; // latencies since the last set-up from here
-      window = Math.max(WINDOW_LEAST * share * share, window * Math.max(CUT_MOST, Math.pow(WINDOW_CUT, unseen)));
-      cutAt = now;
-    }
-    nextAt = now + (long) Math.min(PACE_MOST, Math.min(latency, 2 * setUpAim) * Math.max(0, 1 / window - 1));
-  }
-
-  /** The decision, in order: the unexpired entry, then the rotation with the load check. */
-  private Node pick(long now, Job job) {
-    Entry entry = job.reset ? null : entries.get(job.request.client());
-    if (entry != null && now - entry.lastUsed() < TTL && usable(now, job, entry.node())) {
-      return entry.node();
-    }
-    return rotation.stream().filter(node -> now >= node.tryAt && node.settingUp == 0 && usable(now, job, node))
-        .findFirst().orElseGet(() -> walk(now, job, false)); // one called back is tried soon, whoever is due
-  }
-
-  /** The first server that passes the load check, by its report if any; else, unless strict, the least slow with room.
-   * Without a group in the rotation's order; with one among its homes, the coolest or those in the own zone first. */
-  private Node walk(long now, Job job, boolean strict) {
-    List<Node> around = job.group == null ? rotation : homes(now, job);
-    int start = job.group == null ? index : 0;
-    double reserve = strict ? 1 : 1 - RESERVE * share * (1 - value(job)); // a part of one of many's is no connection
-    Node good = null;
-    Node best = null;
-    double coolest = Double.MAX_VALUE;
-    double least = FULL * shortestAim;
-    for (int step = 0; step < around.size(); step++) {
-      Node next = around.get((start + step) % around.size());
-      if (after(job, next) > next.cap * reserve || job.group == null && !usable(now, job, next)) {
+  public void report(long now, String serverName, double utilization) {
+    TrackedServer server = servers.get(serverName);
+    if (server != null) {
+      server.utilization = utilization;
+      server.reportedAt = now;
+      offload(now, server, utilization > HOT ? server.load * (1 - COOL / utilization) : 0, false);
+      retryQueued(now);
+    }
+  }
+
+  /**
+   * Whether setups are limited at present. Retry throttling prevents storms that feed themselves: a late setup costs a
+   * retry token, and one in time earns some.
+   */
+  private boolean isThrottled(long now) {
+    retryTokens = Math.min(MAX_RETRY_TOKENS, retryTokens + RETRY_TOKENS_PER_MICRO * (now - retryTokensAt));
+    retryTokensAt = now;
+    return setupsInFlight >= setupLimit || now < nextSetupAt
+        || retryTokens < MAX_RETRY_TOKENS / 2 && retryTokens < 1 + setupsInFlight;
+  }
+
+  /**
+   * Adapts the setup concurrency limit. Setups in excess of what the shared store can serve would queue there until all
+   * of them time out.
+   */
+  private void updateSetupLimit(long now, boolean isSlow, double latencyMicros) {
+    if (!isSlow) { // scaled by the fleet share, as each balancer of a large fleet sees few successes
+      setupLimit = Math.min(MAX_SETUP_LIMIT, Math.sqrt(setupLimit * setupLimit + 2 * fleetShare));
+    } else if (now - setupLimitLoweredAt > latencyMicros) { // setups from before the last decrease tell nothing new
+      // the number of latencies that have passed since this balancer's previous setup
+      double latencies = latencyMicros > minSetupTargetMicros ? Math.max(1, 1 / setupLimit) : 1;
+      setupLimit = Math.max(MIN_SETUP_LIMIT * fleetShare * fleetShare,
+          setupLimit * Math.max(MIN_SETUP_LIMIT_DECREASE, Math.pow(SETUP_LIMIT_DECREASE, latencies)));
+      setupLimitLoweredAt = now;
+    }
+    nextSetupAt = now + (long) Math.min(MAX_SETUP_SPACING_MICROS,
+        Math.min(latencyMicros, 2 * minSetupTargetMicros) * Math.max(0, 1 / setupLimit - 1));
+  }
+
+  /**
+   * Selects a server: first by an unexpired affinity entry, then a resumed server that is due for its probe, then by
+   * the rotation and the load check. Returns null if no server is available.
+   */
+  private TrackedServer selectServer(long now, TrackedRequest tracked) {
+    AffinityEntry entry = tracked.ignoresAffinity ? null : affinityEntries.get(tracked.request.client());
+    if (entry != null && now - entry.lastUsed() < TTL && isUsable(now, tracked, entry.server())) {
+      return entry.server();
+    }
+    // a resumed server is probed soon, whichever server would be next
+    return rotation.stream().filter(server -> now >= server.resumeProbeAt && server.setupsInFlight == 0
+        && isUsable(now, tracked, server)).findFirst().orElseGet(() -> searchServers(now, tracked, false));
+  }
+
+  /**
+   * Returns the first server that passes the load check, judged by its load report if there is one. Without such a
+   * server, returns null if {@code strict}, otherwise the least delayed server within its load limit, or null. A
+   * request without a group follows the order of the rotation. One with a group takes the least utilized preferred
+   * server if load reports are used, otherwise those in the own zone first.
+   */
+  private TrackedServer searchServers(long now, TrackedRequest tracked, boolean strict) {
+    List<TrackedServer> candidates = tracked.group == null ? rotation : preferredServers(now, tracked);
+    int start = tracked.group == null ? nextIndex : 0;
+    // scaled by the fleet share, as the part of a balancer of a large fleet is less than one connection
+    double limitFactor = strict ? 1 : 1 - LOAD_LIMIT_RESERVE_FRACTION * fleetShare * (1 - relativeValue(tracked));
+    TrackedServer leastUtilized = null;
+    TrackedServer leastCostly = null;
+    double minUtilization = Double.MAX_VALUE;
+    double minCost = MAX_DELAY_FRACTION * minMessageTargetMicros;
+    for (int step = 0; step < candidates.size(); step++) {
+      TrackedServer next = candidates.get((start + step) % candidates.size());
+      if (loadAfter(tracked, next) > next.loadLimit * limitFactor
+          || tracked.group == null && !isUsable(now, tracked, next)) {
         continue;
       }
-      double slow = slow(now, next);
-      double due = due(next);
-      double grain = next.cold ? next.luck : GRAIN;
-      boolean known = next.known(now, FRESH);
-      boolean room = known ? next.heat < HOT
-          : next.load + job.load <= BOUND * totalLoad * next.weight / totalSize + grain * job.load;
-      boolean near = settings.crossZonePrice() <= 0 || settings.zone().equals(next.info.zone());
-      if (slow == 0 && room) {
-        if (job.group == null) {
-          return checked(now, job, start + step);
+      double delayMicros = overloadDelay(now, next);
+      double fairShare = fairShare(next);
+      double extraConnections = next.isCold ? next.coldExtraConnections : EXTRA_CONNECTIONS;
+      boolean reported = next.hasRecentReport(now, FRESH);
+      boolean hasRoom = reported ? next.utilization < HOT
+          : next.load + tracked.load <= FAIR_SHARE_FACTOR * totalLoad * next.effectiveCapacity / totalCapacity
+              + extraConnections * tracked.load;
+      boolean isNear = settings.crossZonePrice() <= 0 || settings.zone().equals(next.info.zone());
+      if (delayMicros == 0 && hasRoom) {
+        if (tracked.group == null) {
+          return nextInRotation(now, tracked, start + step);
         }
-        if (near && !asks) {
+        if (isNear && !usesLoadReports) {
           return next;
         }
-        double heat = (known ? next.heat : HOT) + (near ? 0 : ELSEWHERE);
-        good = heat < coolest ? next : good;
-        coolest = Math.min(coolest, heat);
+        double utilization = (reported ? next.utilization : HOT) + (isNear ? 0 : CROSS_ZONE_PENALTY);
+        leastUtilized = utilization < minUtilization ? next : leastUtilized;
+        minUtilization = Math.min(minUtilization, utilization);
       }
-      double cost = slow > 0 ? slow : known ? next.heat : -due / after(job, next);
-      best = cost < least ? next : best;
-      least = Math.min(least, cost);
+      double cost = delayMicros > 0 ? delayMicros
+          : reported ? next.utilization : -fairShare / loadAfter(tracked, next);
+      leastCostly = cost < minCost ? next : leastCostly;
+      minCost = Math.min(minCost, cost);
     }
-    return good != null || strict ? good : best;
+    return leastUtilized != null || strict ? leastUtilized : leastCostly;
   }
 
-  /** What a unit of this one's load is worth, as a part of the most that it may be; less beyond a tenant's share. */
-  private double value(Job job) {
-    String tenant = String.valueOf(job.request.tenant());
-    double due = settings.value().shares().getOrDefault(tenant, Double.MAX_VALUE) / settings.balancers();
-    double chance = 2 * Math.sqrt(due); // few of a tenant's come here: a second more than its due is no excess
-    double part = tenants.getOrDefault(tenant, 0) > due + chance ? settings.value().overShare() : 1;
-    return Math.min(1, worth(job.type, job.load) * part / mostWorth);
+  /** The value of a unit of this request's load over the maximum value; lower beyond the tenant's share. */
+  private double relativeValue(TrackedRequest tracked) {
+    String tenant = String.valueOf(tracked.request.tenant());
+    double tenantShare = settings.value().shares().getOrDefault(tenant, Double.MAX_VALUE) / settings.balancers();
+    // a balancer sees few connections of a tenant, so a second one beyond a small share is no excess
+    double tolerance = 2 * Math.sqrt(tenantShare);
+    double factor = tenantConnections.getOrDefault(tenant, 0) > tenantShare + tolerance
+        ? settings.value().overShare() : 1;
+    return Math.min(1, valuePerLoad(tracked.requestClass, tracked.load) * factor / maxValue);
   }
 
-  private double worth(RequestClass type, double load) {
+  private double valuePerLoad(RequestClass type, double load) {
     return settings.value().byWork() ? type.worth() : type.worth() / load;
   }
 
-  /** What a server bears of this balancer's. Guards against servers that bear many thin groups looking free. */
-  private double bears(Node node) {
-    return node.load + node.groups.size() * groupCost();
+  /**
+   * The load of this balancer's connections on a server, including the cost of their groups. Without that cost, a
+   * server with few connections of each of many groups would appear free.
+   */
+  private double loadWithGroups(TrackedServer server) {
+    return server.load + server.groupConnections.size() * groupCost();
   }
 
-  private double after(Job job, Node node) {
-    return bears(node) + job.load + (job.group == null || node.groups.containsKey(job.group) ? 0 : groupCost());
+  private double loadAfter(TrackedRequest tracked, TrackedServer server) {
+    return loadWithGroups(server) + tracked.load
+        + (tracked.group == null || server.groupConnections.containsKey(tracked.group) ? 0 : groupCost());
   }
 
   private double groupCost() {
-    return GROUP_COST * meanLoad / settings.balancers(); // all of them share it
-  }
-
-  private double due(Node node) {
-    return (totalLoad + pairs * groupCost()) * node.weight / totalSize;
-  }
-
-  /** The load check of the plain rotation: the one after is taken if it holds fewer; the index skips both. */
-  private Node checked(long now, Job job, int at) {
-    Node next = rotation.get(at % rotation.size());
-    Node after = rotation.get((at + 1) % rotation.size());
-    boolean skip = next.open > after.open && usable(now, job, after) && slow(now, after) == 0;
-    index = (at + (skip ? 2 : 1)) % rotation.size();
-    return skip ? after : next;
-  }
-
-  /** The servers for a group: the first of an order hashed from its name; for one of many cold ones with budget too. */
-  private List<Node> homes(long now, Job job) {
-    List<Node> homes = new ArrayList<>();
-    double part = totalSize * job.group.seen / (seen + PRIOR); // few sightings hardly move the prior
-    double wanted = (share < 1 && !asks ? SPREAD_BLIND : SPREAD) * part;
-    for (Node node : order(job)) {
-      if ((homes.size() < LEAST_HOMES || wanted > 0 || node.cold && share < 1) && usable(now, job, node)) {
-        homes.add(node);
-        wanted -= node.weight;
+    return GROUP_COST_MEAN_LOADS * meanLoad / settings.balancers(); // shared by all balancers
+  }
+
+  private double fairShare(TrackedServer server) {
+    return (totalLoad + serverGroupPairs * groupCost()) * server.effectiveCapacity / totalCapacity;
+  }
+
+  /** Returns the server at a position of the rotation, or the next one if that is usable and has fewer connections. */
+  private TrackedServer nextInRotation(long now, TrackedRequest tracked, int position) {
+    TrackedServer next = rotation.get(position % rotation.size());
+    TrackedServer following = rotation.get((position + 1) % rotation.size());
+    boolean skipsNext = next.connections > following.connections && isUsable(now, tracked, following)
+        && overloadDelay(now, following) == 0;
+    nextIndex = (position + (skipsNext ? 2 : 1)) % rotation.size();
+    return skipsNext ? following : next;
+  }
+
+  /**
+   * Returns the preferred servers of the request's group: the first usable ones of its ranking by rendezvous
+   * hashing, in a large fleet also all cold servers that have budget.
+   */
+  private List<TrackedServer> preferredServers(long now, TrackedRequest tracked) {
+    List<TrackedServer> preferred = new ArrayList<>();
+    // the prior keeps the estimate stable while few requests of the group have been seen
+    double groupCapacity = totalCapacity * tracked.group.recentRequests / (recentGroupedRequests + PRIOR_REQUESTS);
+    double missingCapacity = (fleetShare < 1 && !usesLoadReports ? GROUP_SPREAD_NO_REPORTS : GROUP_SPREAD_FACTOR)
+        * groupCapacity;
+    for (TrackedServer server : rankServers(tracked)) {
+      if ((preferred.size() < LEAST_HOMES || missingCapacity > 0 || server.isCold && fleetShare < 1)
+          && isUsable(now, tracked, server)) {
+        preferred.add(server);
+        missingCapacity -= server.effectiveCapacity;
       }
     }
-    double skip = job.turn * (share < 1 && !asks ? SPREAD_BLIND : SPAN) * part; // lest all balancers fill the first
+    // requests start at different offsets, so that the balancers do not all fill the first server
+    double offsetCapacity = tracked.offset
+        * (fleetShare < 1 && !usesLoadReports ? GROUP_SPREAD_NO_REPORTS : OFFSET_RANGE_FRACTION) * groupCapacity;
     int start = 0;
-    while (start < homes.size() && skip >= homes.get(start).weight) {
-      skip -= homes.get(start++).weight;
+    while (start < preferred.size() && offsetCapacity >= preferred.get(start).effectiveCapacity) {
+      offsetCapacity -= preferred.get(start++).effectiveCapacity;
     }
-    Collections.rotate(homes, -start);
-    homes.sort(Comparator.comparing(node -> !node.cold || share == 1)); // stable: cold ones come first for one of many
-    return homes;
+    Collections.rotate(preferred, -start);
+    // in a large fleet, cold servers come first; the sort is stable
+    preferred.sort(Comparator.comparing(server -> !server.isCold || fleetShare == 1));
+    return preferred;
   }
 
-  private List<Node> order(Job job) {
-    if (job.group.order == null) {
-      job.group.order = new ArrayList<>(rotation);
-      rotation.forEach(node -> // weighted by size, so that a large server is the first home of more groups
-          node.rank = -Math.log(Ledger.mix(job.request.group(), node.info.name())) / node.info.size());
-      job.group.order.sort(Comparator.comparingDouble(node -> node.rank));
+  private List<TrackedServer> rankServers(TrackedRequest tracked) {
+    if (tracked.group.rankedServers == null) {
+      tracked.group.rankedServers = new ArrayList<>(rotation);
+      rotation.forEach(server -> // weighted by capacity, so that a large server ranks first for more groups
+          server.groupRank = -Math.log(Ledger.hashToFraction(tracked.request.group(), server.info.name()))
+              / server.info.size());
+      tracked.group.rankedServers.sort(Comparator.comparingDouble(server -> server.groupRank));
     }
-    return job.group.order;
+    return tracked.group.rankedServers;
   }
 
-  /** How long messages take at a server, 0 when they are not slow; the first connection after a pause is a trial. */
-  private double slow(long now, Node node) {
-    return now - Math.max(node.slowAt, node.trialAt) < SLOW_MEMORY && node.slow > CROWDED * shortestAim ? node.slow : 0;
+  /**
+   * The message delay of a server that is overloaded, otherwise 0. The first connection to a server that had none is a
+   * probe: the latest delay counts as reported when it started, so that no others follow before its own report.
+   */
+  private double overloadDelay(long now, TrackedServer server) {
+    return now - Math.max(server.delayReportedAt, server.firstConnectionAt) < SLOW_MEMORY
+        && server.queueingDelayMicros > AVOID_DELAY_FRACTION * minMessageTargetMicros ? server.queueingDelayMicros : 0;
   }
 
-  private boolean usable(long now, Job job, Node node) {
-    return node.ready && node != job.failedOn && !suspect(now, node) && inScope(now, job, node)
-        && budget(now, node) >= 1;
+  private boolean isUsable(long now, TrackedRequest tracked, TrackedServer server) {
+    return server.inRotation && server != tracked.failedServer && !isEjected(now, server)
+        && mayRunOn(now, tracked, server) && warmUpBudget(now, server) >= 1;
   }
 
-  /** Guards against a silent or failing server: passed by for a while, then given one trial at a time. */
-  private boolean suspect(long now, Node node) {
-    return node.strikes > 0 && (now < node.avoidUntil || node.settingUp > 0 || node.onTrial(now));
+  /** Whether a silent or failing server is passed over; after its ejection it gets one probe at a time. */
+  private boolean isEjected(long now, TrackedServer server) {
+    return server.consecutiveFailures > 0
+        && (now < server.ejectedUntil || server.setupsInFlight > 0 || server.isProbing(now));
   }
 
-  private void strike(long now, Node node) {
-    if (now >= node.avoidUntil) {
-      node.strikes = Math.min(node.strikes + 1, MOST_STRIKES);
-      node.avoidUntil = now + (long) ((0.75 + random.nextDouble() / 2) * (AVOID << node.strikes - 1));
+  private void recordFailure(long now, TrackedServer server) {
+    if (now >= server.ejectedUntil) {
+      server.consecutiveFailures = Math.min(server.consecutiveFailures + 1, MAX_CONSECUTIVE_FAILURES);
+      server.ejectedUntil = now
+          + (long) ((0.75 + random.nextDouble() / 2) * (BASE_EJECTION_MICROS << server.consecutiveFailures - 1));
     }
   }
 
-  /** Guards a keyed effect against running twice: repeats stay where they are dropped, and while they are. */
-  private boolean inScope(long now, Job job, Node node) {
-    boolean same = job.ranOn != null && (job.type.scope() == Scope.ZONE
-        ? node.info.zone().equals(job.ranOn.zone()) : node.info.cell() == job.ranOn.cell());
-    return repeatable(now, job, same || job.type.scope() == Scope.ALL);
+  /**
+   * Whether the request may run on this server without the risk that its effect occurs twice: repeats of a keyed
+   * request go only to servers that drop them, and only while they do.
+   */
+  private boolean mayRunOn(long now, TrackedRequest tracked, TrackedServer server) {
+    boolean sameScope = tracked.mayHaveRunOn != null && (tracked.requestClass.scope() == Scope.ZONE
+        ? server.info.zone().equals(tracked.mayHaveRunOn.zone())
+        : server.info.cell() == tracked.mayHaveRunOn.cell());
+    return isRepeatable(now, tracked, sameScope || tracked.requestClass.scope() == Scope.ALL);
   }
 
-  private boolean repeatable(long now, Job job, boolean dropsRepeats) {
-    boolean keyed = job.type.effect() == Effect.KEYED && dropsRepeats && now - job.ranAt < job.type.window() - MARGIN;
-    return !job.mayHaveRun || job.type.effect() == Effect.SAFE || keyed;
+  private boolean isRepeatable(long now, TrackedRequest tracked, boolean dropsRepeats) {
+    boolean repeatIsDropped = tracked.requestClass.effect() == Effect.KEYED && dropsRepeats
+        && now - tracked.mayHaveRunAt < tracked.requestClass.window() - ANSWER_MARGIN_MICROS;
+    return !tracked.mayHaveRun || tracked.requestClass.effect() == Effect.SAFE || repeatIsDropped;
   }
 
-  /** Set-ups a server can take now without being pushed over while it is cold; no limit when it is warm. */
-  private double budget(long now, Node node) {
-    if (warmth(now, node) >= 1) {
+  /** The setups that a server can take now without failing under load while it is cold; unlimited when it is warm. */
+  private double warmUpBudget(long now, TrackedServer server) {
+    if (capacityFraction(now, server) >= 1) {
       return Double.MAX_VALUE;
     }
-    double ends = rate.at(now) * node.weight / (warmSize > 0 ? warmSize : totalSize); // by what warm ones bear
-    double due = jobs.size() * node.weight / totalSize / settings.coldTime() / warmHeat; // before any end
-    double perMicro = COLD_CAUTION * settings.coldMultiple() * Math.max(ends, due);
-    node.budget = Math.min(Math.max(1, perMicro * settings.coldWindow()),
-        node.budget + perMicro * (now - node.budgetAt));
-    node.budgetAt = now;
-    return node.budget;
-  }
-
-  /** The part of its capacity that a server has at least; it grows over the cold time. */
-  private double warmth(long now, Node node) {
-    long age = node.info.since() == 0 ? settings.coldTime() : Math.max(0, now - node.info.since());
-    double grown = settings.coldTime() == 0 ? 1 : (double) age / settings.coldTime();
-    return grown >= 1 ? 1 : settings.coldShare() + (1 - settings.coldShare()) * grown;
-  }
-
-  /** What a unit of load is worth at most, and sizes, now: a cold server counts with the part that it has. */
-  private void weigh(long now) {
-    mostWorth = settings.classes().stream().mapToDouble(type -> worth(type, usual(type))).max().orElse(1);
-    warmHeat = Math.max(LEAST_HEAT, rotation.stream().filter(node -> !node.cold && node.known(now, FRESH))
-        .mapToDouble(node -> node.heat).average().orElse(1));
-    totalSize = warmSize = 0;
-    for (Node node : rotation) {
-      double warmth = warmth(now, node);
-      node.weight = node.info.size() * warmth;
-      totalSize += node.weight;
-      warmSize += warmth < 1 ? 0 : node.weight;
-      node.cold = warmth < 1;
-    }
-  }
-
-  private void send(long now, Job job, Node node, long left) {
-    if (job.type.effect() != Effect.SAFE && !job.mayHaveRun) {
-      job.ranAt = now;
-      job.ranOn = node.info;
-    }
-    bind(now, job, node);
-    node.settingUp++;
-    settingUp++;
-    node.budget -= 1;
-    record(now, job.request.client(), node);
-    boolean jammed = share < 1 && window < WINDOW_FIRST * share / 2; // the shared call, so that others are as late
-    boolean last = jammed || job.attempts >= settings.maxAttempts();
-    long timeout = last ? left : Math.min(left, Math.max(job.type.aim(), left / 2));
-    actions.send(job.request.id(), node.info.name(), timeout);
+    // connections that end, in proportion to what the warm servers carry
+    double endingPerMicro = completionRate.valueAt(now) * server.effectiveCapacity
+        / (warmCapacity > 0 ? warmCapacity : totalCapacity);
+    // the server's fair share over the warm-up time, which applies before any connection ends
+    double fairPerMicro = requests.size() * server.effectiveCapacity / totalCapacity / settings.coldTime()
+        / warmUtilization;
+    double perMicro = WARM_UP_BUDGET_FRACTION * settings.coldMultiple() * Math.max(endingPerMicro, fairPerMicro);
+    server.warmUpBudget = Math.min(Math.max(1, perMicro * settings.coldWindow()),
+        server.warmUpBudget + perMicro * (now - server.warmUpBudgetAt));
+    server.warmUpBudgetAt = now;
+    return server.warmUpBudget;
+  }
+
+  /** The fraction of its full capacity that a server has at least; it grows during the warm-up time. */
+  private double capacityFraction(long now, TrackedServer server) {
+    long age = server.info.since() == 0 ? settings.coldTime() : Math.max(0, now - server.info.since());
+    double progress = settings.coldTime() == 0 ? 1 : (double) age / settings.coldTime();
+    return progress >= 1 ? 1 : settings.coldShare() + (1 - settings.coldShare()) * progress;
+  }
+
+  /** Updates the maximum value of a unit of load, and the capacities, where a cold server counts with its fraction. */
+  private void updateCapacities(long now) {
+    maxValue = settings.classes().stream().mapToDouble(type -> valuePerLoad(type, typicalLoad(type))).max().orElse(1);
+    warmUtilization = Math.max(MIN_WARM_UTILIZATION, rotation.stream()
+        .filter(server -> !server.isCold && server.hasRecentReport(now, FRESH))
+        .mapToDouble(server -> server.utilization).average().orElse(1));
+    totalCapacity = warmCapacity = 0;
+    for (TrackedServer server : rotation) {
+      double fraction = capacityFraction(now, server);
+      server.effectiveCapacity = server.info.size() * fraction;
+      totalCapacity += server.effectiveCapacity;
+      warmCapacity += fraction < 1 ? 0 : server.effectiveCapacity;
+      server.isCold = fraction < 1;
+    }
+  }
+
+  private void startAttempt(long now, TrackedRequest tracked, TrackedServer server, long timeLeft) {
+    if (tracked.requestClass.effect() != Effect.SAFE && !tracked.mayHaveRun) {
+      tracked.mayHaveRunAt = now;
+      tracked.mayHaveRunOn = server.info;
+    }
+    assign(now, tracked, server);
+    server.setupsInFlight++;
+    setupsInFlight++;
+    server.warmUpBudget -= 1;
+    recordAffinity(now, tracked.request.client(), server);
+    // an overloaded shared store delays attempts on other servers just as much
+    boolean storeOverloaded = fleetShare < 1 && setupLimit < WINDOW_FIRST * fleetShare / 2;
+    boolean isLast = storeOverloaded || tracked.attempts >= settings.maxAttempts();
+    long timeoutMicros = isLast ? timeLeft : Math.min(timeLeft, Math.max(tracked.requestClass.aim(), timeLeft / 2));
+    actions.send(tracked.request.id(), server.info.name(), timeoutMicros);
   }
 
   @Override
-  public void bind(long now, Map<String, String> clients) {
-    clients.values().removeIf(server -> !nodes.containsKey(server) || !nodes.get(server).ready);
-    clients.forEach((client, server) -> entries.putIfAbsent(client, new Entry(nodes.get(server), now)));
+  public void bind(long now, Map<String, String> serverByClient) {
+    serverByClient.values().removeIf(name -> !servers.containsKey(name) || !servers.get(name).inRotation);
+    serverByClient.forEach((client, name) -> affinityEntries.putIfAbsent(client,
+        new AffinityEntry(servers.get(name), now)));
   }
 
-  private void record(long now, String client, Node node) {
-    if (client != null && node != null && node.ready) {
-      entries.put(client, new Entry(node, now));
+  private void recordAffinity(long now, String client, TrackedServer server) {
+    if (client != null && server != null && server.inRotation) {
+      affinityEntries.put(client, new AffinityEntry(server, now));
     }
   }
 
-  /** Books an attempt on a server, which may be unknown for a connection handed over. */
-  private void bind(long now, Job job, Node node) {
-    job.node = node == null ? new Node() : node;
-    job.attempts++;
-    job.out++;
-    tenants.merge(String.valueOf(job.request.tenant()), 1, Integer::sum);
-    job.node.trialAt = job.node.open++ == 0 ? now : job.node.trialAt;
-    carry(job, job.load);
-    pairs += job.group == null ? 0 : job.node.hold(job.group, 1);
+  /** Counts an attempt on a server; {@code server} is null if the server of a handed-over connection is unknown. */
+  private void assign(long now, TrackedRequest tracked, TrackedServer server) {
+    tracked.server = server == null ? new TrackedServer() : server;
+    tracked.attempts++;
+    tracked.unendedAttempts++;
+    tenantConnections.merge(String.valueOf(tracked.request.tenant()), 1, Integer::sum);
+    tracked.server.firstConnectionAt = tracked.server.connections++ == 0 ? now : tracked.server.firstConnectionAt;
+    addLoad(tracked, tracked.load);
+    serverGroupPairs += tracked.group == null ? 0 : tracked.server.addConnections(tracked.group, 1);
   }
 
-  private void carry(Job job, double load) {
-    job.node.load += load;
+  private void addLoad(TrackedRequest tracked, double load) {
+    tracked.server.load += load;
     totalLoad += load;
   }
 
-  private void retryHeld(long now) {
-    ArrayDeque<Job> waiting = held;
-    held = new ArrayDeque<>();
-    waiting.stream().filter(job -> !job.answered).forEach(job -> place(now, job));
+  private void retryQueued(long now) {
+    ArrayDeque<TrackedRequest> retried = queued;
+    queued = new ArrayDeque<>();
+    retried.stream().filter(tracked -> !tracked.answered).forEach(tracked -> dispatch(now, tracked));
   }
 
-  /** The final answer, with no attempt out: a refusal where nothing ran, or may repeat when the client is back. */
-  private void answer(long now, Job job) {
-    long advice = Math.min(settings.maxRetryAfter(), (long) (job.type.aim() * (0.5 + random.nextDouble())));
-    if (repeatable(now + advice, job, job.type.scope() == Scope.ALL)) {
-      actions.refuse(job.request.id(), advice);
+  /**
+   * Gives the final answer to a request without an attempt in flight: a rejection if nothing has run, or if it may be
+   * repeated when the client retries; otherwise a failure.
+   */
+  private void rejectOrFail(long now, TrackedRequest tracked) {
+    long retryAfterMicros = Math.min(settings.maxRetryAfter(),
+        (long) (tracked.requestClass.aim() * (0.5 + random.nextDouble())));
+    if (isRepeatable(now + retryAfterMicros, tracked, tracked.requestClass.scope() == Scope.ALL)) {
+      actions.refuse(tracked.request.id(), retryAfterMicros);
     } else {
-      actions.fail(job.request.id());
+      actions.fail(tracked.request.id());
     }
-    finish(job);
+    finish(tracked);
   }
 
-  private void finish(Job job) {
-    job.answered = true;
-    if (job.out == 0) {
-      jobs.remove(job.request.id());
+  private void finish(TrackedRequest tracked) {
+    tracked.answered = true;
+    if (tracked.unendedAttempts == 0) {
+      requests.remove(tracked.request.id());
     }
   }
 
   @Override
-  public void opened(long now, long id, int attempt, long latency) {
-    Job job = jobs.get(id);
-    if (job != null && job.out > 0 && !job.open) {
-      job.open = true;
-      job.openedAt = now;
-      job.node.tryAt = Long.MAX_VALUE;
-      trust = Math.max(0, trust + (latency > job.type.aim() ? -1 : TRUST_GAIN));
-      settingUp--;
-      job.node.settingUp--;
-      job.node.provenAt = job.node.sheds ? now + YOUNG : job.node.provenAt; // only one that is kept clears it
-      job.node.strikes = Math.max(0, job.node.strikes - (job.node.sheds ? 0 : 1));
-      learnWindow(now, latency > setUpAim, latency); // a slower one has queued somewhere
-      retryHeld(now);
+  public void opened(long now, long requestId, int attempt, long latencyMicros) {
+    TrackedRequest tracked = requests.get(requestId);
+    if (tracked != null && tracked.unendedAttempts > 0 && !tracked.established) {
+      tracked.established = true;
+      tracked.establishedAt = now;
+      tracked.server.resumeProbeAt = Long.MAX_VALUE;
+      retryTokens = Math.max(0, retryTokens
+          + (latencyMicros > tracked.requestClass.aim() ? -1 : RETRY_TOKENS_PER_SUCCESS));
+      setupsInFlight--;
+      tracked.server.setupsInFlight--;
+      // a server that drops new connections is cleared only by one that it keeps
+      tracked.server.probeKeptAt = tracked.server.dropsNewConnections ? now + YOUNG : tracked.server.probeKeptAt;
+      tracked.server.consecutiveFailures = Math.max(0,
+          tracked.server.consecutiveFailures - (tracked.server.dropsNewConnections ? 0 : 1));
+      updateSetupLimit(now, latencyMicros > minSetupTargetMicros, latencyMicros); // a slower setup was queued somewhere
+      retryQueued(now);
     }
   }
 
   @Override
-  public void ended(long now, long id, int attempt, Outcome outcome, long latency, boolean closed) {
-    Job job = jobs.get(id);
-    if (job == null || job.out == 0) {
+  public void ended(long now, long requestId, int attempt, Outcome outcome, long latencyMicros,
+      boolean requestFinished) {
+    TrackedRequest tracked = requests.get(requestId);
+    if (tracked == null || tracked.unendedAttempts == 0) {
       return;
     }
-    job.out--;
-    tenants.merge(String.valueOf(job.request.tenant()), -1, Integer::sum);
-    job.node.open--;
-    job.node.settingUp -= job.open ? 0 : 1;
-    settingUp -= job.open ? 0 : 1;
-    carry(job, -job.load);
-    pairs += job.group == null ? 0 : job.node.hold(job.group, -1);
-    job.mayHaveRun |= !outcome.neverRan;
-    rate.add(now, job.open && outcome == Outcome.SERVED ? 1 : 0);
-    boolean failedSetUp = !job.open && outcome.failsSetUp();
-    if (failedSetUp) {
-      learnWindow(now, true, latency);
-    }
-    if (failedSetUp || outcome == Outcome.RESET) {
-      reset(job);
-      job.failedOn = job.node;
-      boolean young = job.open && now - job.openedAt < YOUNG;
-      boolean first = young && now >= job.node.avoidUntil; // of many that one server drops together: it is one fault
-      if (first && job.node.open > 0) {
-        crowd(job.node, CAP_PART);
+    tracked.unendedAttempts--;
+    tenantConnections.merge(String.valueOf(tracked.request.tenant()), -1, Integer::sum);
+    tracked.server.connections--;
+    tracked.server.setupsInFlight -= tracked.established ? 0 : 1;
+    setupsInFlight -= tracked.established ? 0 : 1;
+    addLoad(tracked, -tracked.load);
+    serverGroupPairs += tracked.group == null ? 0 : tracked.server.addConnections(tracked.group, -1);
+    tracked.mayHaveRun |= !outcome.neverRan;
+    completionRate.add(now, tracked.established && outcome == Outcome.SERVED ? 1 : 0);
+    boolean setupFailed = !tracked.established && outcome.isSetupFailure();
+    if (setupFailed) {
+      updateSetupLimit(now, true, latencyMicros);
+    }
+    if (setupFailed || outcome == Outcome.RESET) {
+      resetAffinity(tracked);
+      tracked.failedServer = tracked.server;
+      boolean isYoung = tracked.established && now - tracked.establishedAt < YOUNG;
+      // connections that a server drops together count as one failure
+      boolean isFirstDropped = isYoung && now >= tracked.server.ejectedUntil;
+      if (isFirstDropped && tracked.server.connections > 0) {
+        lowerLoadLimit(tracked.server, LOAD_LIMIT_FRACTION);
       }
-      job.node.sheds |= young;
-      job.node.provenAt = young ? Long.MAX_VALUE : job.node.provenAt;
-      trust = Math.max(0, trust - (job.open && !first ? 0 : 1));
-      job.errors += outcome == Outcome.ERROR ? 1 : 0;
-      if (job.errors < 2) { // guards against one request that no server can use striking them all
-        strike(now, job.node);
-      } else if (job.errors == 2 && job.accused != null) {
-        job.accused.strikes = Math.max(0, job.accused.strikes - 1);
+      tracked.server.dropsNewConnections |= isYoung;
+      tracked.server.probeKeptAt = isYoung ? Long.MAX_VALUE : tracked.server.probeKeptAt;
+      retryTokens = Math.max(0, retryTokens - (tracked.established && !isFirstDropped ? 0 : 1));
+      tracked.errors += outcome == Outcome.ERROR ? 1 : 0;
+      // a second error suggests that the request is at fault: otherwise it could get every server ejected
+      if (tracked.errors < 2) {
+        recordFailure(now, tracked.server);
+      } else if (tracked.errors == 2 && tracked.blamedServer != null) {
+        tracked.blamedServer.consecutiveFailures = Math.max(0, tracked.blamedServer.consecutiveFailures - 1);
       }
-      job.accused = outcome == Outcome.ERROR && job.errors == 1 ? job.node : null;
+      tracked.blamedServer = outcome == Outcome.ERROR && tracked.errors == 1 ? tracked.server : null;
     }
-    if (closed || job.open || job.answered) {
-      finish(job);
+    if (requestFinished || tracked.established || tracked.answered) {
+      finish(tracked);
     } else {
-      place(now, job);
+      dispatch(now, tracked);
     }
-    retryHeld(now);
+    retryQueued(now);
   }
 
-  /** A failed set-up or a broken connection resets the entry, and this request's picks skip the map. */
-  private void reset(Job job) {
-    job.reset = true;
-    entries.computeIfPresent(job.request.client(), (client, entry) -> entry.node() == job.node ? null : entry);
+  /** Removes the affinity entry after a failed setup or a broken connection, and ignores entries for this request. */
+  private void resetAffinity(TrackedRequest tracked) {
+    tracked.ignoresAffinity = true;
+    affinityEntries.computeIfPresent(tracked.request.client(),
+        (client, entry) -> entry.server() == tracked.server ? null : entry);
   }
 
   @Override
-  public void load(long now, long id, int attempt, double load) {
-    Job job = jobs.get(id);
-    if (job != null && job.out > 0) {
-      carry(job, load - job.load);
-      job.load = load;
-      job.told = true;
+  public void load(long now, long requestId, int attempt, double load) {
+    TrackedRequest tracked = requests.get(requestId);
+    if (tracked != null && tracked.unendedAttempts > 0) {
+      addLoad(tracked, load - tracked.load);
+      tracked.load = load;
+      tracked.loadKnown = true;
       meanLoad += (load - meanLoad) / 50;
-      usuals.computeIfAbsent(job.type.name(), name -> new Usual()).learn(load, LOADS_KEPT);
+      typicalLoads.computeIfAbsent(tracked.requestClass.name(), name -> new TypicalLoad()).add(load, MAX_LOAD_SAMPLES);
     }
   }
 
-  /** The load to expect of a connection until it is told: classes differ tenfold. */
-  private double usual(RequestClass type) {
-    Usual usual = usuals.get(type.name());
-    return usual == null || usual.told < LEAST_LOADS ? meanLoad : usual.load;
+  /** The load to expect of a connection until it is reported; it differs between classes by a factor of ten. */
+  private double typicalLoad(RequestClass type) {
+    TypicalLoad typical = typicalLoads.get(type.name());
+    return typical == null || typical.samples < MIN_LOAD_SAMPLES ? meanLoad : typical.mean;
   }
 
-  /** Guards against servers with many connections not told of yet, as after a restart, seeming to have room. */
-  private void expect(Job job) {
-    if (!job.told && job.out > 0) {
-      double load = usual(job.type);
-      carry(job, load - job.load);
-      job.load = load;
+  /**
+   * Updates the load of a connection for which none was reported. Otherwise servers with many such connections, as
+   * after a restart, would appear to have room.
+   */
+  private void applyTypicalLoad(TrackedRequest tracked) {
+    if (!tracked.loadKnown && tracked.unendedAttempts > 0) {
+      double load = typicalLoad(tracked.requestClass);
+      addLoad(tracked, load - tracked.load);
+      tracked.load = load;
     }
   }
 
   @Override
-  public void delay(long now, long id, int attempt, double micros) {
-    Job job = jobs.get(id);
-    if (job != null && job.out > 0) {
-      boolean runs = now - job.node.slowAt < 1.5 * SECOND; // notes come once a second
-      job.node.growth = runs ? (micros - job.node.slow) / (now - job.node.slowAt) : Math.min(1, micros / SECOND);
-      job.node.slow = micros;
-      job.node.slowAt = now;
-    }
-  }
-
-  /** Moves this balancer's own part of what is asked of a server beyond what it can do, by the growth of its delays. */
-  private void relieve(long now, Node node) {
-    double slow = slow(now, node);
-    if (slow < JAMMED * shortestAim || node.slowAt <= node.relievedAt) {
-      return; // once for each note
-    }
-    node.relievedAt = now;
-    double asked = Math.max(1, 1 + node.growth); // of what it can do
-    crowd(node, Math.min(CAP_PART, 1 / asked));
-    relieve(now, node, node.load * (1 - Math.max(0, 1 - slow / SECOND) / asked), slow >= FULL * shortestAim);
-  }
-
-  /** Moves so much load off a server, where a home has room or {@code anyway}. A part of a connection is a chance. */
-  private void relieve(long now, Node node, double most, boolean anyway) {
-    List<Job> here = new ArrayList<>(most > 0 ? jobs.values() : List.of()); // of all standing ones: many
-    here.removeIf(job -> job.node != node || !job.open || job.moved || job.group == null); // no group, no homes
-    here.forEach(job -> job.foreign = !homes(now, job).contains(node)); // first: that frees the group's cost
-    here.sort(Comparator.comparing((Job job) -> !job.foreign).thenComparing(this::value)
-        .thenComparing(job -> -job.load));
-    for (Job job : here) {
-      double part = most / job.load;
-      if (part > 0 && (anyway || walk(now, job, true) != null)) {
-        most -= job.load;
-        if (random.nextDouble() < part) {
-          move(job);
+  public void delay(long now, long requestId, int attempt, double delayMicros) {
+    TrackedRequest tracked = requests.get(requestId);
+    if (tracked != null && tracked.unendedAttempts > 0) {
+      boolean hasPrevious = now - tracked.server.delayReportedAt < 1.5 * SECOND; // one report each second
+      tracked.server.delayGrowth = hasPrevious
+          ? (delayMicros - tracked.server.queueingDelayMicros) / (now - tracked.server.delayReportedAt)
+          : Math.min(1, delayMicros / SECOND);
+      tracked.server.queueingDelayMicros = delayMicros;
+      tracked.server.delayReportedAt = now;
+    }
+  }
+
+  /** Moves this balancer's part of the demand that exceeds a server's capacity, judged by the growth of its delays. */
+  private void offload(long now, TrackedServer server) {
+    double delayMicros = overloadDelay(now, server);
+    if (delayMicros < OFFLOAD_DELAY_FRACTION * minMessageTargetMicros
+        || server.delayReportedAt <= server.offloadedAt) {
+      return; // offloads once for each delay report
+    }
+    server.offloadedAt = now;
+    double demand = Math.max(1, 1 + server.delayGrowth); // over the server's capacity
+    lowerLoadLimit(server, Math.min(LOAD_LIMIT_FRACTION, 1 / demand));
+    offload(now, server, server.load * (1 - Math.max(0, 1 - delayMicros / SECOND) / demand),
+        delayMicros >= MAX_DELAY_FRACTION * minMessageTargetMicros);
+  }
+
+  /**
+   * Moves load off a server, connection by connection: those that a preferred server has room for, or any if
+   * {@code unconditional}. A last connection that exceeds the remaining load is moved with the matching probability.
+   */
+  private void offload(long now, TrackedServer server, double remainingLoad, boolean unconditional) {
+    // a copy of all requests, made only if there is load to move, since there are many
+    List<TrackedRequest> movable = new ArrayList<>(remainingLoad > 0 ? requests.values() : List.of());
+    movable.removeIf(tracked -> tracked.server != server || !tracked.established || tracked.moved
+        || tracked.group == null); // without a group there are no preferred servers
+    movable.forEach(tracked -> tracked.outsidePreferred = !preferredServers(now, tracked).contains(server));
+    // connections outside their preferred servers first, since that frees the cost of the group
+    movable.sort(Comparator.comparing((TrackedRequest tracked) -> !tracked.outsidePreferred)
+        .thenComparing(this::relativeValue).thenComparing(tracked -> -tracked.load));
+    for (TrackedRequest tracked : movable) {
+      double probability = remainingLoad / tracked.load;
+      if (probability > 0 && (unconditional || searchServers(now, tracked, true) != null)) {
+        remainingLoad -= tracked.load;
+        if (random.nextDouble() < probability) {
+          move(tracked);
         }
       }
     }
   }
 
-  /** Caps a server at this part of its present own load. */
-  private void crowd(Node node, double part) {
-    double least = CAP_FLOOR * Math.max(due(node), meanLoad);
-    node.cap = Math.min(node.cap, Math.max(bears(node) * part, least));
+  /** Limits a server to a fraction of this balancer's present load on it. */
+  private void lowerLoadLimit(TrackedServer server, double fraction) {
+    double minLimit = MIN_LOAD_LIMIT_FRACTION * Math.max(fairShare(server), meanLoad);
+    server.loadLimit = Math.min(server.loadLimit, Math.max(loadWithGroups(server) * fraction, minLimit));
   }
 
-  private void move(Job job) {
-    job.moved = true;
-    reset(job);
-    actions.move(job.request.id());
+  private void move(TrackedRequest tracked) {
+    tracked.moved = true;
+    resetAffinity(tracked);
+    actions.move(tracked.request.id());
   }
 
   @Override
-  public boolean confirms(long now, long id) {
-    Job job = jobs.get(id);
-    return job != null && job.node.ready && inScope(now, job, job.node);
+  public boolean confirms(long now, long requestId) {
+    TrackedRequest tracked = requests.get(requestId);
+    return tracked != null && tracked.server.inRotation && mayRunOn(now, tracked, tracked.server);
   }
 
   @Override
   public void close(long now) {
     closing = true;
-    retryHeld(now);
+    retryQueued(now);
   }
 
   @Override
-  public void departed(long now, long id) {
-    Job job = jobs.get(id);
-    if (job != null) {
-      finish(job);
+  public void departed(long now, long requestId) {
+    TrackedRequest tracked = requests.get(requestId);
+    if (tracked != null) {
+      finish(tracked);
     }
   }
 
   @Override
-  public boolean avoids(long now, String server) {
-    Node node = nodes.get(server);
-    return node == null || !node.ready || suspect(now, node) || slow(now, node) > 0;
+  public boolean avoids(long now, String serverName) {
+    TrackedServer server = servers.get(serverName);
+    return server == null || !server.inRotation || isEjected(now, server) || overloadDelay(now, server) > 0;
   }
 
   @Override
   public void timer(long now, long token) {
-    started();
+    requireStarted();
     actions.timer(now + TICK, 0);
-    retryHeld(now);
-    if (now >= askAt) {
-      askAt = now + LIST_WAIT_MOST;
+    retryQueued(now);
+    if (now >= subscribeAt) {
+      subscribeAt = now + MAX_LIST_RETRY_MICROS;
       actions.subscribe();
     }
-    if (now < lookAt) {
+    if (now < nextScanAt) {
       return;
     }
-    lookAt = now + LOOK;
-    weigh(now);
-    for (Job job : jobs.values()) {
-      expect(job);
-      Long since = job.open && !job.moved && job.node.info != null ? out.get(job.node.info.name()) : null;
+    nextScanAt = now + LOOK;
+    updateCapacities(now);
+    for (TrackedRequest tracked : requests.values()) {
+      applyTypicalLoad(tracked);
+      Long since = tracked.established && !tracked.moved && tracked.server.info != null
+          ? suspendedAt.get(tracked.server.info.name()) : null;
+      // moves clients off a suspended server at an even rate, before its restart would disconnect them
       if (since != null && random.nextDouble() * Math.max(1, since + CLEAR - now) < LOOK) {
-        move(job); // guards against clients cut off at a server taken out, at an even pace, before it is restarted
+        move(tracked);
       }
     }
-    if (asks && random.nextDouble() < ASK_RATE * LOOK * jobs.size()) {
-      rotation.stream().filter(node -> node.open > 0 && now - node.askedAt > FRESH / 2)
-          .max(Comparator.comparing(node -> node.load * (now - node.toldAt))).ifPresent(node -> ask(now, node));
-    }
-    for (Node node : rotation) {
-      relieve(now, node);
-      node.slow = node.open > 0 && slow(now, node) == 0 ? 0 : node.slow;
-      boolean proven = node.sheds && now >= node.provenAt;
-      node.sheds &= !proven;
-      node.strikes = proven ? 0 : node.strikes;
-      node.cap *= slow(now, node) > 0 ? 1 : 1 + LOOK / CAP_GROWTH;
-    }
-    if (now >= nextSweep) {
-      nextSweep = now + SWEEP;
-      entries.values().removeIf(entry -> now - entry.lastUsed() >= TTL);
-      groups.values().forEach(group -> group.seen *= GROUPS_KEPT);
-      seen *= GROUPS_KEPT;
-      groups.values().removeIf(group -> group.seen < 0.5);
+    if (usesLoadReports && random.nextDouble() < REPORT_REQUESTS_PER_MICRO * LOOK * requests.size()) {
+      rotation.stream().filter(server -> server.connections > 0 && now - server.reportRequestedAt > FRESH / 2)
+          .max(Comparator.comparing(server -> server.load * (now - server.reportedAt)))
+          .ifPresent(server -> requestReport(now, server));
+    }
+    for (TrackedServer server : rotation) {
+      offload(now, server);
+      server.queueingDelayMicros = server.connections > 0 && overloadDelay(now, server) == 0
+          ? 0 : server.queueingDelayMicros;
+      boolean keptProbe = server.dropsNewConnections && now >= server.probeKeptAt;
+      server.dropsNewConnections &= !keptProbe;
+      server.consecutiveFailures = keptProbe ? 0 : server.consecutiveFailures;
+      server.loadLimit *= overloadDelay(now, server) > 0 ? 1 : 1 + LOOK / LOAD_LIMIT_GROWTH_MICROS;
+    }
+    if (now >= nextSweepAt) {
+      nextSweepAt = now + SWEEP;
+      affinityEntries.values().removeIf(entry -> now - entry.lastUsed() >= TTL);
+      groups.values().forEach(group -> group.recentRequests *= GROUP_COUNT_DECAY);
+      recentGroupedRequests *= GROUP_COUNT_DECAY;
+      groups.values().removeIf(group -> group.recentRequests < 0.5);
     }
   }
 }
