--- a/proxy/src/main/java/amberhoist/decide/Balancer.java
+++ b/proxy/src/main/java/amberhoist/decide/Balancer.java
@@ -124,10 +124,12 @@
    * @param zone the zone in which the server runs
    * @param kind the machine type
    * @param cell the set of servers that recognize each other's request keys
-   * @param size capacity relative to other servers; a value that is not positive means unknown and is stored as 1
+   * @param size capacity relative to other servers; a value that is not positive means unknown and
+   *     is stored as 1
    * @param since clock time of the latest start, 0 if that is long ago
    */
-  record Server(String name, String zone, String kind, int cell, State state, double size, long since) {
+  record Server(String name, String zone, String kind, int cell, State state, double size,
+      long since) {
     /** Throws {@link IllegalArgumentException} if the name or state is missing or the start time is negative. */
     public Server {
       if (name == null || name.isEmpty() || state == null || since < 0) {
@@ -153,29 +155,30 @@
    * @param retry whether the client has sent this request before
    * @param returning whether the client reconnects after an interruption or a move
    */
-  record Request(long id, String type, String tenant, String client, long deadline, double hint, String group,
-      boolean retry, boolean returning) {}
+  record Request(long id, String type, String tenant, String client, long deadline, double hint,
+      String group, boolean retry, boolean returning) {}
 
   /**
    * A request class.
    *
    * @param aim target for the setup time of a connection, in microseconds
-   * @param window for {@link Effect#KEYED}: time after the first attempt during which repeats are dropped, in
-   *     microseconds
+   * @param window for {@link Effect#KEYED}: time after the first attempt during which repeats are
+   *     dropped, in microseconds
    * @param worth value of one request
-   * @param messageAim target for the time of a message on an open connection, in microseconds; 0 if not specified
+   * @param messageAim target for the time of a message on an open connection, in microseconds; 0 if not
+   *     specified
    */
-  record RequestClass(String name, Effect effect, Scope scope, long aim, long window, double worth,
-      double messageAim) {}
+  record RequestClass(String name, Effect effect, Scope scope, long aim, long window,
+      double worth, double messageAim) {}
 
   /**
    * The value of connections, which decides between them when the capacity does not suffice for all.
    *
-   * @param byWork whether the value grows with a connection's load; otherwise all connections of a class have the
-   *     same value
+   * @param byWork whether the value grows with a connection's load; otherwise all connections of a class
+   *     have the same value
    * @param overShare factor from 0 to 1 for the value of connections beyond their tenant's share
-   * @param shares open connections that each tenant's share covers, summed over all balancers; a tenant that is absent
-   *     has no limit
+   * @param shares open connections that each tenant's share covers, summed over all balancers; a tenant that
+   *     is absent has no limit
    */
   record Value(boolean byWork, double overShare, Map<String, Double> shares) {
     /** Equal value for all connections of a class, and no tenant shares. */
@@ -210,9 +213,10 @@
    * @param value the value of connections
    * @param reports whether servers can be asked for load reports
    */
-  record Settings(String zone, int index, int balancers, List<RequestClass> classes, boolean subscribe,
-      long askWithin, int maxAttempts, long maxRetryAfter, double crossZonePrice, double movePrice,
-      double coldShare, long coldTime, double coldMultiple, long coldWindow, Value value, boolean reports) {
+  record Settings(String zone, int index, int balancers, List<RequestClass> classes,
+      boolean subscribe, long askWithin, int maxAttempts, long maxRetryAfter, double crossZonePrice,
+      double movePrice, double coldShare, long coldTime, double coldMultiple, long coldWindow,
+      Value value, boolean reports) {
     /** Throws {@link IllegalArgumentException} if a value is missing or out of range, such as a negative time. */
     public Settings {
       if (zone == null || classes == null || balancers < 1 || maxAttempts < 1) {
@@ -277,7 +281,8 @@
    * @param requestFinished whether the request has its final answer, by this outcome or earlier; otherwise the answer
    *     is still due
    */
-  void ended(long now, long requestId, int attempt, Outcome outcome, long latencyMicros, boolean requestFinished);
+  void ended(long now, long requestId, int attempt, Outcome outcome, long latencyMicros,
+      boolean requestFinished);
 
   /** The load of an open connection changed; in microseconds of work per second. */
   void load(long now, long requestId, int attempt, double load);
--- a/proxy/src/main/java/amberhoist/decide/Policy.java
+++ b/proxy/src/main/java/amberhoist/decide/Policy.java
@@ -149,7 +149,8 @@
   /** A reset before this age counts as a failed setup, because servers drop their newest connections first. */
   static final long YOUNG = 3_000_000;
 
-  private static final RequestClass UNKNOWN_CLASS = new RequestClass("", Effect.UNSAFE, Scope.CELL, 0, 0, 1, 0);
+  private static final RequestClass UNKNOWN_CLASS =
+      new RequestClass("", Effect.UNSAFE, Scope.CELL, 0, 0, 1, 0);
 
   private final Map<String, TrackedServer> servers = new LinkedHashMap<>();
   private final List<TrackedServer> rotation = new ArrayList<>();
@@ -206,7 +207,8 @@
     nextSweepAt = now + SWEEP;
     nextIndex = random.nextInt(1 << 16); // taken modulo the length of the rotation, which is not known yet
     // random, so that the balancers do not all subscribe within the same second
-    long subscribeDelayMicros = (long) (random.nextDouble() * newSettings.askWithin() * FIRST_ASK);
+    long subscribeDelayMicros =
+        (long) (random.nextDouble() * newSettings.askWithin() * FIRST_ASK);
     subscribeAt = newSettings.subscribe() ? now + subscribeDelayMicros : Long.MAX_VALUE;
     actions.timer(now + TICK, 0);
   }
@@ -228,8 +230,8 @@
     for (RequestClass type : newSettings.classes()) {
       minSetupTargetMicros = Math.min(minSetupTargetMicros, type.aim());
       requestClasses.put(type.name(), type);
-      minMessageTargetMicros = type.messageAim() > 0 ? Math.min(minMessageTargetMicros, type.messageAim())
-          : minMessageTargetMicros;
+      minMessageTargetMicros = type.messageAim() > 0
+          ? Math.min(minMessageTargetMicros, type.messageAim()) : minMessageTargetMicros;
     }
   }
 
@@ -256,7 +258,8 @@
       missing.remove(info.name());
       updateInfo(now, servers.computeIfAbsent(info.name(), name -> new TrackedServer()), info);
     }
-    missing.values().forEach(server -> updateInfo(now, server, server.info.withState(State.GONE, server.info.since())));
+    missing.values().forEach(server ->
+        updateInfo(now, server, server.info.withState(State.GONE, server.info.since())));
     rebuildRotation(now);
     retryQueued(now);
   }
@@ -367,13 +370,15 @@
    * take busy servers for free ones.
    */
   private boolean awaitsReports(long now, TrackedRequest tracked) {
-    if (!usesLoadReports || tracked.group == null || tracked.attempts > 0 || now > tracked.arrivedAt + ASK_WAIT) {
+    if (!usesLoadReports || tracked.group == null || tracked.attempts > 0
+        || now > tracked.arrivedAt + ASK_WAIT) {
       return false;
     }
-    List<TrackedServer> first = preferredServers(now, tracked).stream().limit(LEAST_HOMES).toList();
-    first.stream().filter(server -> now - Math.max(server.reportedAt, server.reportRequestedAt) >= FRESH)
+    List<TrackedServer> asked = preferredServers(now, tracked).stream().limit(LEAST_HOMES).toList();
+    asked.stream()
+        .filter(server -> now - Math.max(server.reportedAt, server.reportRequestedAt) >= FRESH)
         .forEach(server -> requestReport(now, server));
-    return first.stream().anyMatch(server -> server.reportRequestedAt > server.reportedAt
+    return asked.stream().anyMatch(server -> server.reportRequestedAt > server.reportedAt
         && now - server.reportRequestedAt < ASK_WAIT);
   }
 
@@ -389,7 +394,8 @@
     if (server != null) {
       server.utilization = utilization;
       server.reportedAt = now;
-      offload(now, server, utilization > HOT ? server.load * (1 - COOL / utilization) : 0, false);
+      offload(now, server,
+          utilization > HOT ? server.load * (1 - COOL / utilization) : 0, false);
       retryQueued(now);
     }
   }
@@ -488,7 +494,8 @@
   /** The value of a unit of this request's load over the maximum value; lower beyond the tenant's share. */
   private double relativeValue(TrackedRequest tracked) {
     String tenant = String.valueOf(tracked.request.tenant());
-    double tenantShare = settings.value().shares().getOrDefault(tenant, Double.MAX_VALUE) / settings.balancers();
+    double tenantShare = settings.value().shares().getOrDefault(tenant, Double.MAX_VALUE)
+        / settings.balancers();
     // a balancer sees few connections of a tenant, so a second one beyond a small share is no excess
     double tolerance = 2 * Math.sqrt(tenantShare);
     double factor = tenantConnections.getOrDefault(tenant, 0) > tenantShare + tolerance
@@ -601,8 +608,8 @@
   }
 
   /**
-   * Whether the request may run on this server without the risk that its effect occurs twice: repeats of a keyed
-   * request go only to servers that drop them, and only while they do.
+   * Whether the request may run on this server without the risk that its effect occurs twice: repeats of a request
+   * that servers deduplicate go only to servers that drop them, and only while they do.
    */
   private boolean mayRunOn(long now, TrackedRequest tracked, TrackedServer server) {
     boolean sameScope = tracked.mayHaveRunOn != null && (tracked.requestClass.scope() == Scope.ZONE
@@ -644,7 +651,8 @@
 
   /** Updates the maximum value of a unit of load, and the capacities, where a cold server counts with its fraction. */
   private void updateCapacities(long now) {
-    maxValue = settings.classes().stream().mapToDouble(type -> valuePerLoad(type, typicalLoad(type))).max().orElse(1);
+    maxValue = settings.classes().stream()
+        .mapToDouble(type -> valuePerLoad(type, typicalLoad(type))).max().orElse(1);
     warmUtilization = Math.max(MIN_WARM_UTILIZATION, rotation.stream()
         .filter(server -> !server.isCold && server.hasRecentReport(now, FRESH))
         .mapToDouble(server -> server.utilization).average().orElse(1));
@@ -671,7 +679,8 @@
     // an overloaded shared store delays attempts on other servers just as much
     boolean storeOverloaded = fleetShare < 1 && setupLimit < WINDOW_FIRST * fleetShare / 2;
     boolean isLast = storeOverloaded || tracked.attempts >= settings.maxAttempts();
-    long timeoutMicros = isLast ? timeLeft : Math.min(timeLeft, Math.max(tracked.requestClass.aim(), timeLeft / 2));
+    long timeoutMicros = isLast ? timeLeft
+        : Math.min(timeLeft, Math.max(tracked.requestClass.aim(), timeLeft / 2));
     actions.send(tracked.request.id(), server.info.name(), timeoutMicros);
   }
 
@@ -744,7 +753,8 @@
       setupsInFlight--;
       tracked.server.setupsInFlight--;
       // a server that drops new connections is cleared only by one that it keeps
-      tracked.server.probeKeptAt = tracked.server.dropsNewConnections ? now + YOUNG : tracked.server.probeKeptAt;
+      tracked.server.probeKeptAt = tracked.server.dropsNewConnections
+          ? now + YOUNG : tracked.server.probeKeptAt;
       tracked.server.consecutiveFailures = Math.max(0,
           tracked.server.consecutiveFailures - (tracked.server.dropsNewConnections ? 0 : 1));
       updateSetupLimit(now, latencyMicros > minSetupTargetMicros, latencyMicros); // a slower setup was queued somewhere
@@ -842,7 +852,8 @@
   public void delay(long now, long requestId, int attempt, double delayMicros) {
     TrackedRequest tracked = requests.get(requestId);
     if (tracked != null && tracked.unendedAttempts > 0) {
-      boolean hasPrevious = now - tracked.server.delayReportedAt < 1.5 * SECOND; // one report each second
+      // reports arrive once a second
+      boolean hasPrevious = now - tracked.server.delayReportedAt < 1.5 * SECOND;
       tracked.server.delayGrowth = hasPrevious
           ? (delayMicros - tracked.server.queueingDelayMicros) / (now - tracked.server.delayReportedAt)
           : Math.min(1, delayMicros / SECOND);
@@ -943,15 +954,17 @@
     updateCapacities(now);
     for (TrackedRequest tracked : requests.values()) {
       applyTypicalLoad(tracked);
-      Long since = tracked.established && !tracked.moved && tracked.server.info != null
+      Long suspendedSince = tracked.established && !tracked.moved && tracked.server.info != null
           ? suspendedAt.get(tracked.server.info.name()) : null;
       // moves clients off a suspended server at an even rate, before its restart would disconnect them
-      if (since != null && random.nextDouble() * Math.max(1, since + CLEAR - now) < LOOK) {
+      if (suspendedSince != null
+          && random.nextDouble() * Math.max(1, suspendedSince + CLEAR - now) < LOOK) {
         move(tracked);
       }
     }
     if (usesLoadReports && random.nextDouble() < REPORT_REQUESTS_PER_MICRO * LOOK * requests.size()) {
-      rotation.stream().filter(server -> server.connections > 0 && now - server.reportRequestedAt > FRESH / 2)
+      rotation.stream()
+          .filter(server -> server.connections > 0 && now - server.reportRequestedAt > FRESH / 2)
           .max(Comparator.comparing(server -> server.load * (now - server.reportedAt)))
           .ifPresent(server -> requestReport(now, server));
     }
