--- a/proxy/src/main/java/amberhoist/decide/Balancer.java
+++ b/proxy/src/main/java/amberhoist/decide/Balancer.java
@@ -139,8 +139,8 @@
     }
 
     /** Returns a copy of this server with another state and start time. */
-    Server withState(State newState, long startedAt) {
-      return new Server(name, zone, kind, cell, newState, size, startedAt);
+    Server withState(State newState, long newStartedAt) {
+      return new Server(name, zone, kind, cell, newState, size, newStartedAt);
     }
   }
 
@@ -197,7 +197,7 @@
    * The settings of a balancer. Times are in microseconds.
    *
    * @param zone the balancer's own zone
-   * @param index the balancer's index among all {@code balancers}, from 0
+   * @param index the balancer's index among all balancers, from 0
    * @param balancers number of balancers
    * @param classes the request classes
    * @param subscribe whether list changes arrive only after {@link Actions#subscribe}
@@ -208,15 +208,15 @@
    * @param movePrice cost of moving a connection, in the same unit
    * @param coldShare fraction of its capacity that a server has at least when it starts
    * @param coldTime time after its start at which a server is warm
-   * @param coldMultiple a cold server fails when it receives more than this multiple of its present capacity ...
-   * @param coldWindow ... for this time
+   * @param coldMultiple multiple of its present capacity beyond which load makes a cold server fail
+   * @param coldWindow time for which such load must last to make the server fail
    * @param value the value of connections
    * @param reports whether servers can be asked for load reports
    */
   record Settings(String zone, int index, int balancers, List<RequestClass> classes,
-      boolean subscribe, long askWithin, int maxAttempts, long maxRetryAfter, double crossZonePrice,
-      double movePrice, double coldShare, long coldTime, double coldMultiple, long coldWindow,
-      Value value, boolean reports) {
+      boolean subscribe, long askWithin, int maxAttempts, long maxRetryAfter,
+      double crossZonePrice, double movePrice, double coldShare, long coldTime, double coldMultiple,
+      long coldWindow, Value value, boolean reports) {
     /** Throws {@link IllegalArgumentException} if a value is missing or out of range, such as a negative time. */
     public Settings {
       if (zone == null || classes == null || balancers < 1 || maxAttempts < 1) {
--- a/proxy/src/main/java/amberhoist/decide/Policy.java
+++ b/proxy/src/main/java/amberhoist/decide/Policy.java
@@ -114,9 +114,9 @@
   static final double MIN_SETUP_LIMIT = 2;
   static final double MAX_SETUP_LIMIT = 100;
   /** Factor for the setup limit when setups become slow. */
-  static final double SETUP_LIMIT_DECREASE = 0.7;
+  static final double SETUP_LIMIT_FACTOR = 0.7;
   /** Smallest factor that one failure applies to the setup limit: the failure may be the server's own. */
-  static final double MIN_SETUP_LIMIT_DECREASE = 0.3;
+  static final double MIN_SETUP_LIMIT_FACTOR = 0.3;
   /** Maximum time between setups: by then, what is known about the shared store is out of date. */
   static final long MAX_SETUP_SPACING_MICROS = 20_000_000;
 
@@ -422,7 +422,7 @@
       // the number of latencies that have passed since this balancer's previous setup
       double latencies = latencyMicros > minSetupTargetMicros ? Math.max(1, 1 / setupLimit) : 1;
       setupLimit = Math.max(MIN_SETUP_LIMIT * fleetShare * fleetShare,
-          setupLimit * Math.max(MIN_SETUP_LIMIT_DECREASE, Math.pow(SETUP_LIMIT_DECREASE, latencies)));
+          setupLimit * Math.max(MIN_SETUP_LIMIT_FACTOR, Math.pow(SETUP_LIMIT_FACTOR, latencies)));
       setupLimitLoweredAt = now;
     }
     nextSetupAt = now + (long) Math.min(MAX_SETUP_SPACING_MICROS,
@@ -445,9 +445,9 @@
 
   /**
    * Returns the first server that passes the load check, judged by its load report if there is one. Without such a
-   * server, returns null if {@code strict}, otherwise the least delayed server within its load limit, or null. A
-   * request without a group follows the order of the rotation. One with a group takes the least utilized preferred
-   * server if load reports are used, otherwise those in the own zone first.
+   * server, returns null if {@code strict}, otherwise the one within its load limit that has the lowest cost by delay,
+   * utilization or fair share, or null. A request without a group follows the order of the rotation. One with a group
+   * takes the least utilized preferred server if load reports are used, otherwise those in the own zone first.
    */
   private TrackedServer searchServers(long now, TrackedRequest tracked, boolean strict) {
     List<TrackedServer> candidates = tracked.group == null ? rotation : preferredServers(now, tracked);
