--- a/proxy/src/main/java/amberhoist/directory/Address.java
+++ b/proxy/src/main/java/amberhoist/directory/Address.java
@@ -6,23 +6,27 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Reads addresses such as {@code 10.1.0.18:3000}: numbers only, for there is no DNS. */
+/** Parses addresses such as {@code 10.1.0.18:3000}; only numeric ones, since no DNS is available. */
 public final class Address {
-  private static final Pattern FORM = Pattern.compile("(\\d{1,3}(?:\\.\\d{1,3}){3}):(\\d{1,5})");
+  private static final Pattern ADDRESS_PATTERN = Pattern.compile("(\\d{1,3}(?:\\.\\d{1,3}){3}):(\\d{1,5})");
 
   private Address() {}
 
-  /** The address, or {@link IllegalArgumentException}. */
+  /**
+   * Parses an IPv4 address with a port.
+   *
+   * @throws IllegalArgumentException if the text is not such an address
+   */
   public static InetSocketAddress parse(String text) {
-    Matcher matcher = FORM.matcher(text);
+    Matcher matcher = ADDRESS_PATTERN.matcher(text);
     if (!matcher.matches()) {
-      throw new IllegalArgumentException("not an address: " + text);
+      throw new IllegalArgumentException("not a numeric IPv4 address with a port: " + text);
     }
     try {
       InetAddress host = InetAddress.getByName(matcher.group(1));
       return new InetSocketAddress(host, Integer.parseInt(matcher.group(2)));
     } catch (UnknownHostException fault) {
-      throw new IllegalArgumentException("not an address: " + text, fault);
+      throw new IllegalArgumentException("not a numeric IPv4 address with a port: " + text, fault);
     }
   }
 }
--- a/proxy/src/main/java/amberhoist/directory/AddressBook.java
+++ b/proxy/src/main/java/amberhoist/directory/AddressBook.java
@@ -9,25 +9,25 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The providers as the directory told last, and where they are reached. It belongs to the loop's thread. */
+/** The providers of the directory's latest update, and their addresses. Confined to the event loop's thread. */
 public final class AddressBook {
   private final Map<String, InetSocketAddress> addresses = new HashMap<>();
   private final Map<String, Server> listed = new TreeMap<>();
 
   /**
-   * Takes up news; replaces all that was known when they are the whole list, but for what could not be read of it.
+   * Applies an update. A snapshot replaces all known providers, except those whose entry in it could not be read.
    *
-   * @return the entries, of a whole list also those that stay as they were
+   * @return the entries of the update; for a snapshot also the previous entries that are kept
    */
-  public List<Server> update(News news) {
-    List<Server> entries = new ArrayList<>(news.providers());
-    if (news.whole()) {
-      addresses.keySet().retainAll(news.unread());
-      listed.keySet().retainAll(news.unread());
+  public List<Server> update(News update) {
+    List<Server> entries = new ArrayList<>(update.providers());
+    if (update.whole()) {
+      addresses.keySet().retainAll(update.unread());
+      listed.keySet().retainAll(update.unread());
       entries.addAll(listed.values());
     }
-    addresses.putAll(news.addresses());
-    for (Server server : news.providers()) {
+    addresses.putAll(update.addresses());
+    for (Server server : update.providers()) {
       if (server.state() == State.GONE) {
         listed.remove(server.name());
       } else {
@@ -37,12 +37,12 @@
     return entries;
   }
 
-  /** The address of a provider, or null when none is known. */
+  /** The address of a provider, or null if it is not known. */
   public InetSocketAddress of(String provider) {
     return addresses.get(provider);
   }
 
-  /** The providers that have not left, by name. */
+  /** The providers that have not left, in order of their names. */
   public List<Server> listed() {
     return new ArrayList<>(listed.values());
   }
--- a/proxy/src/main/java/amberhoist/directory/News.java
+++ b/proxy/src/main/java/amberhoist/directory/News.java
@@ -17,114 +17,115 @@
 import java.util.Set;
 
 /**
- * One object from the directory: its whole list, or what has changed. An entry that cannot be read takes none of the
- * others with it.
+ * One update from the directory: a snapshot of the list of providers, or changes to it. An entry that cannot be read
+ * does not invalidate the others.
  *
- * @param index the list's version
- * @param whole all providers, not only those that changed
- * @param providers the entries that can be read
- * @param addresses where each of them is reached from here
- * @param unread the names of the others, of which nothing new is known
+ * @param index version of the list
+ * @param whole whether the update has all providers, not only the changed ones
+ * @param providers the entries that could be read
+ * @param addresses address of each of these providers by its name; a provider that has left may have none
+ * @param unread names of the providers whose entries could not be read
  */
 public record News(long index, boolean whole, List<Server> providers,
     Map<String, InetSocketAddress> addresses, Set<String> unread) {
-  private static final JsonFactory JSON = new JsonFactory();
+  private static final JsonFactory JSON_FACTORY = new JsonFactory();
   private static final Map<String, State> STATES =
       Map.of("active", State.READY, "leaving", State.DRAINING, "left", State.GONE);
-  private static final Set<String> FIELDS =
+  private static final Set<String> ENTRY_FIELDS =
       Set.of("name", "address", "zone", "type", "group", "status", "weight", "since_ms");
 
-  /** Reads a text that holds one such object and nothing else. */
+  /** Parses a text that contains exactly one update. */
   public static News parse(byte[] text, Clock clock) throws IOException {
-    try (JsonParser in = JSON.createParser(text)) {
-      in.nextToken();
-      News news = read(in, clock);
-      require(in.nextToken() == null, "more than one object");
-      return news;
+    try (JsonParser json = JSON_FACTORY.createParser(text)) {
+      json.nextToken();
+      News update = read(json, clock);
+      require(json.nextToken() == null, "more than one object");
+      return update;
     } catch (IllegalArgumentException fault) {
-      throw new IOException("malformed news: " + fault.getMessage(), fault);
+      throw new IOException("malformed directory update: " + fault.getMessage(), fault);
     }
   }
 
-  /** Reads the object whose opening brace is the parser's current token. */
-  public static News read(JsonParser in, Clock clock) throws IOException {
-    require(in.currentToken() == JsonToken.START_OBJECT, "not an object");
+  /** Reads one update; the current token of the parser must be its opening brace. */
+  public static News read(JsonParser json, Clock clock) throws IOException {
+    require(json.currentToken() == JsonToken.START_OBJECT, "not an object");
     long index = -1;
     boolean whole = false;
-    boolean listed = false;
+    boolean hasEndpoints = false;
     List<Server> providers = new ArrayList<>();
     Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
     Set<String> unread = new LinkedHashSet<>();
-    while (in.nextToken() == JsonToken.FIELD_NAME) {
-      String field = in.currentName();
-      in.nextToken();
+    while (json.nextToken() == JsonToken.FIELD_NAME) {
+      String field = json.currentName();
+      json.nextToken();
       switch (field) {
-        case "index" -> index = in.getLongValue();
-        case "snapshot" -> whole = in.getBooleanValue();
+        case "index" -> index = json.getLongValue();
+        case "snapshot" -> whole = json.getBooleanValue();
         case "endpoints" -> {
-          require(in.currentToken() == JsonToken.START_ARRAY, "endpoints is no array");
-          listed = true;
-          while (in.nextToken() == JsonToken.START_OBJECT) {
-            entry(in, clock, providers, addresses, unread);
+          require(json.currentToken() == JsonToken.START_ARRAY, "endpoints is not an array");
+          hasEndpoints = true;
+          while (json.nextToken() == JsonToken.START_OBJECT) {
+            readEntry(json, clock, providers, addresses, unread);
           }
-          require(in.currentToken() == JsonToken.END_ARRAY, "an endpoint is no object");
+          require(json.currentToken() == JsonToken.END_ARRAY, "an endpoint is not an object");
         }
-        default -> in.skipChildren();
+        default -> json.skipChildren();
       }
     }
-    require(in.currentToken() == JsonToken.END_OBJECT && index >= 0 && listed, "incomplete");
+    require(json.currentToken() == JsonToken.END_OBJECT && index >= 0 && hasEndpoints,
+        "incomplete object, or without index or endpoints");
     return new News(index, whole, providers, addresses, unread);
   }
 
-  private static void entry(JsonParser in, Clock clock, List<Server> providers,
+  private static void readEntry(JsonParser json, Clock clock, List<Server> providers,
       Map<String, InetSocketAddress> addresses, Set<String> unread) throws IOException {
     String name = null;
     InetSocketAddress address = null;
     String zone = "";
-    String kind = null;
-    int cell = 0;
+    String type = null;
+    int group = 0;
     State state = null;
     double weight = 0;
     long since = 0;
     boolean readable = true;
-    while (in.nextToken() == JsonToken.FIELD_NAME) {
-      String field = in.currentName();
-      JsonToken value = in.nextToken();
+    while (json.nextToken() == JsonToken.FIELD_NAME) {
+      String field = json.currentName();
+      JsonToken value = json.nextToken();
       if (value == JsonToken.VALUE_NULL || value.isStructStart()) {
-        readable &= value == JsonToken.VALUE_NULL || !FIELDS.contains(field);
-        in.skipChildren();
+        readable &= value == JsonToken.VALUE_NULL || !ENTRY_FIELDS.contains(field);
+        json.skipChildren();
         continue;
       }
       try {
         switch (field) {
-          case "name" -> name = in.getText();
-          case "address" -> address = Address.parse(in.getText());
-          case "zone" -> zone = in.getText();
-          case "type" -> kind = in.getText();
-          case "group" -> cell = in.getIntValue();
-          case "status" -> state = STATES.get(in.getText());
-          case "weight" -> weight = in.getDoubleValue();
-          case "since_ms" -> since = clock.fromUnixMillis((long) in.getDoubleValue());
+          case "name" -> name = json.getText();
+          case "address" -> address = Address.parse(json.getText());
+          case "zone" -> zone = json.getText();
+          case "type" -> type = json.getText();
+          case "group" -> group = json.getIntValue();
+          case "status" -> state = STATES.get(json.getText());
+          case "weight" -> weight = json.getDoubleValue();
+          case "since_ms" -> since = clock.fromUnixMillis((long) json.getDoubleValue());
           default -> { }
         }
       } catch (JsonProcessingException | IllegalArgumentException fault) {
-        readable = false; // a value of another kind; the text goes on behind it
+        readable = false; // a value of the wrong type; parsing continues after it
       }
     }
-    require(name != null, "an endpoint without a name");
+    require(name != null, "an endpoint has no name");
     if (!readable || state == null || address == null && state != State.GONE) {
       unread.add(name);
       return;
     }
-    providers.add(new Server(name, zone, kind, cell, state, weight, since));
+    providers.add(new Server(name, zone, type, group, state, weight, since));
     if (address != null) {
       addresses.put(name, address);
     }
   }
 
-  private static void require(boolean holds, String fault) throws IOException {
-    if (!holds) {
-      throw new IOException("malformed news: " + fault);
+  private static void require(boolean condition, String description) throws IOException {
+    if (!condition) {
+      throw new IOException("malformed directory update: " + description);
     }
   }
 }
--- a/proxy/src/main/java/amberhoist/directory/WatchParser.java
+++ b/proxy/src/main/java/amberhoist/directory/WatchParser.java
@@ -8,11 +8,12 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the answer to a watch: HTTP/1.1, chunked, one JSON object or an empty line after the other. Bytes go
- * in as they come, whole objects and empty lines of the body come out. An object may be indented, over many lines.
+ * Incremental parser of the response to a watch: HTTP/1.1 with a chunked body, which is a sequence of JSON objects and
+ * empty lines. It takes bytes as they arrive and emits complete objects and empty lines. An object may be indented and
+ * so span several lines.
  */
 public final class WatchParser {
-  private enum Part {
+  private enum State {
     STATUS,
     HEADER,
     CHUNK_SIZE,
@@ -22,54 +23,54 @@
     END
   }
 
-  private static final int LONGEST_HEAD = 8192;
-  private static final int LONGEST_LINE = 1 << 22;
+  private static final int MAX_HEAD_LINE_BYTES = 8192;
+  private static final int MAX_OBJECT_BYTES = 1 << 22;
 
-  private final ByteArrayOutputStream head = new ByteArrayOutputStream();
-  private final ByteArrayOutputStream line = new ByteArrayOutputStream();
-  private Part part = Part.STATUS;
+  private final ByteArrayOutputStream headLine = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream object = new ByteArrayOutputStream();
+  private State state = State.STATUS;
   private boolean chunked;
-  private long left;
-  private int depth; // of braces that are open in the object at hand
-  private boolean quoted; // within a string of it
-  private boolean escaped; // behind a backslash there
-  private boolean blank; // nothing yet on the line at hand of such an object
+  private long chunkBytesLeft;
+  private int depth; // open braces of the current object
+  private boolean inString; // inside a string of the current object
+  private boolean escaped; // after a backslash in that string
+  private boolean lineEmpty; // nothing yet on the current line of an object that spans several lines
 
-  /** Takes all bytes of the buffer; whole objects and empty lines of the body go to the consumer, without line ends. */
+  /** Consumes all bytes of the buffer; passes complete objects and empty lines on, without line ends. */
   public void take(ByteBuffer bytes, Consumer<byte[]> lines) throws IOException {
     while (bytes.hasRemaining()) {
-      if (part == Part.CHUNK) {
-        body(bytes, lines);
+      if (state == State.CHUNK) {
+        parseBody(bytes, lines);
         continue;
       }
       byte next = bytes.get();
       if (next != '\n') {
-        head.write(next);
-        require(head.size() <= LONGEST_HEAD, "overlong line");
+        headLine.write(next);
+        require(headLine.size() <= MAX_HEAD_LINE_BYTES, "line exceeds the maximum length");
         continue;
       }
-      String text = head.toString(StandardCharsets.ISO_8859_1);
-      head.reset();
-      headLine(text.endsWith("\r") ? text.substring(0, text.length() - 1) : text);
+      String text = headLine.toString(StandardCharsets.ISO_8859_1);
+      headLine.reset();
+      parseHeadLine(text.endsWith("\r") ? text.substring(0, text.length() - 1) : text);
     }
   }
 
-  /** Whether the answer is complete: nothing more will come. */
+  /** Whether the response is complete. */
   public boolean ended() {
-    return part == Part.END;
+    return state == State.END;
   }
 
-  private void headLine(String text) throws IOException {
-    switch (part) {
+  private void parseHeadLine(String text) throws IOException {
+    switch (state) {
       case STATUS -> {
-        require(text.matches("HTTP/1\\.[01] [0-9]{3}( .*)?"), "no status line");
+        require(text.matches("HTTP/1\\.[01] [0-9]{3}( .*)?"), "invalid status line");
         require(text.startsWith("200", 9), "status " + text.substring(9, 12));
-        part = Part.HEADER;
+        state = State.HEADER;
       }
       case HEADER -> {
         if (text.isEmpty()) {
           require(chunked, "not chunked");
-          part = Part.CHUNK_SIZE;
+          state = State.CHUNK_SIZE;
         } else {
           String lower = text.toLowerCase(Locale.ROOT).replace(" ", "");
           chunked |= lower.startsWith("transfer-encoding:") && lower.endsWith("chunked");
@@ -78,54 +79,54 @@
       case CHUNK_SIZE -> {
         int semicolon = text.indexOf(';');
         String size = (semicolon < 0 ? text : text.substring(0, semicolon)).trim();
-        require(size.matches("[0-9a-fA-F]{1,8}"), "no chunk size");
-        left = Long.parseLong(size, 16);
-        part = left == 0 ? Part.TRAILER : Part.CHUNK;
+        require(size.matches("[0-9a-fA-F]{1,8}"), "invalid chunk size");
+        chunkBytesLeft = Long.parseLong(size, 16);
+        state = chunkBytesLeft == 0 ? State.TRAILER : State.CHUNK;
       }
       case CHUNK_END -> {
-        require(text.isEmpty(), "a chunk longer than its size");
-        part = Part.CHUNK_SIZE;
+        require(text.isEmpty(), "chunk is longer than its size");
+        state = State.CHUNK_SIZE;
       }
-      case TRAILER -> part = text.isEmpty() ? Part.END : Part.TRAILER;
-      default -> throw new IOException("bytes after the end of the answer");
+      case TRAILER -> state = text.isEmpty() ? State.END : State.TRAILER;
+      default -> throw new IOException("bytes after the end of the response");
     }
   }
 
-  private void body(ByteBuffer bytes, Consumer<byte[]> lines) throws IOException {
-    while (bytes.hasRemaining() && left > 0) {
+  private void parseBody(ByteBuffer bytes, Consumer<byte[]> lines) throws IOException {
+    while (bytes.hasRemaining() && chunkBytesLeft > 0) {
       byte next = bytes.get();
-      left--;
+      chunkBytesLeft--;
       if (next == '\n' && depth <= 0) {
-        lines.accept(line.toByteArray());
-        line.reset();
+        lines.accept(object.toByteArray());
+        object.reset();
         depth = 0;
-        quoted = false;
+        inString = false;
       } else if (next == '\n') {
-        require(!blank, "an object that breaks off"); // the next sign of life has come in the middle of it
-        blank = true;
+        require(!lineEmpty, "object is incomplete"); // an empty line, the keep-alive, has arrived inside it
+        lineEmpty = true;
       } else if (next != '\r') {
-        nest(next);
-        blank = false;
-        line.write(next);
-        require(line.size() <= LONGEST_LINE, "overlong news");
+        trackNesting(next);
+        lineEmpty = false;
+        object.write(next);
+        require(object.size() <= MAX_OBJECT_BYTES, "object exceeds the maximum length");
       }
     }
-    part = left == 0 ? Part.CHUNK_END : Part.CHUNK;
+    state = chunkBytesLeft == 0 ? State.CHUNK_END : State.CHUNK;
   }
 
-  private void nest(byte next) {
-    if (quoted) {
-      quoted = escaped || next != '"';
+  private void trackNesting(byte next) {
+    if (inString) {
+      inString = escaped || next != '"';
       escaped = !escaped && next == '\\';
     } else {
-      quoted = next == '"';
+      inString = next == '"';
       depth += next == '{' ? 1 : next == '}' ? -1 : 0;
     }
   }
 
-  private static void require(boolean holds, String fault) throws IOException {
-    if (!holds) {
-      throw new IOException("malformed answer: " + fault);
+  private static void require(boolean condition, String description) throws IOException {
+    if (!condition) {
+      throw new IOException("malformed response: " + description);
     }
   }
 }
