--- a/proxy/src/main/java/amberhoist/net/Acceptor.java
+++ b/proxy/src/main/java/amberhoist/net/Acceptor.java
@@ -10,9 +10,9 @@
 import java.nio.channels.CompletionHandler;
 import java.util.function.Consumer;
 
-/** Accepts connections for one front, as far as there are descriptors for them. */
+/** Accepts connections for one front while file descriptors are available. */
 public final class Acceptor {
-  private static final long LAST_ACCEPTS = 20_000; // what waits is taken in within some ticks
+  private static final long BACKLOG_GRACE_MICROS = 20_000; // time to accept the backlog before closing
 
   private final Loop loop;
   private final DescriptorBudget descriptors;
@@ -20,10 +20,10 @@
   private final Consumer<AsynchronousSocketChannel> front;
   private SocketLimits limits;
   private AsynchronousServerSocketChannel server;
-  private boolean paused; // connections wait, for want of descriptors
-  private boolean leaving;
+  private boolean paused; // no accept pending: descriptors ran out or the last accept failed
+  private boolean closing;
 
-  private final CompletionHandler<AsynchronousSocketChannel, Void> accepted = new CompletionHandler<>() {
+  private final CompletionHandler<AsynchronousSocketChannel, Void> acceptHandler = new CompletionHandler<>() {
     @Override
     public void completed(AsynchronousSocketChannel channel, Void none) {
       loop.run(() -> {
@@ -36,17 +36,17 @@
     @Override
     public void failed(Throwable fault, Void none) {
       if (server.isOpen()) {
-        // Out of descriptors, mostly: the loop of accepts must outlive that.
+        // Usually out of descriptors: accepting must resume later.
         loop.run(() -> {
           counters.add(Count.ACCEPT_FAILED);
           paused = true;
-          acceptLater();
+          scheduleAccept();
         });
       }
     }
   };
 
-  /** An acceptor that hands what it accepts to a front. */
+  /** Creates an acceptor that passes accepted channels to a front. */
   public Acceptor(Loop loop, DescriptorBudget descriptors, Counters counters, SocketLimits limits,
       Consumer<AsynchronousSocketChannel> front) {
     this.loop = loop;
@@ -56,12 +56,12 @@
     this.front = front;
   }
 
-  /** Goes by other limits from now on; the backlog stays. */
-  public void limits(SocketLimits others) {
-    limits = others;
+  /** Changes the limits; the backlog stays as it was. */
+  public void limits(SocketLimits newLimits) {
+    limits = newLimits;
   }
 
-  /** Listens, and accepts from now on; where it is shared, other processes may listen on the same address. */
+  /** Starts to listen and accept; if {@code shared}, other processes may listen on the same address. */
   public void open(InetSocketAddress listen, boolean shared) throws IOException {
     server = AsynchronousServerSocketChannel.open(loop.group());
     server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -74,37 +74,37 @@
     accept();
   }
 
-  /** The address that is listened on. */
+  /** The address listened on. */
   public InetSocketAddress address() throws IOException {
     return (InetSocketAddress) server.getLocalAddress();
   }
 
   /**
-   * Leaves the address to another process that listens there: takes in all that waits, also where descriptors run
-   * short, and then closes. Whatever still waited at the close would be reset.
+   * Leaves the address to another process that listens on it: accepts the whole backlog, even when descriptors run
+   * short, and then closes. Connections still in the backlog at the close would be reset.
    */
   public void leave() {
-    leaving = true;
+    closing = true;
     if (paused) {
       accept();
     }
-    loop.wheel().arm(loop.now() + LAST_ACCEPTS, at -> close());
+    loop.wheel().arm(loop.now() + BACKLOG_GRACE_MICROS, now -> close());
   }
 
   private void accept() {
     if (!server.isOpen()) {
       return;
     }
-    paused = !leaving && !descriptors.room(1);
+    paused = !closing && !descriptors.room(1);
     if (!paused) {
-      server.accept(null, accepted);
+      server.accept(null, acceptHandler);
     } else {
-      acceptLater(); // better off waiting in the backlog than cut off for want of descriptors
+      scheduleAccept(); // the client waits in the backlog instead of being cut off
     }
   }
 
-  private void acceptLater() {
-    loop.wheel().arm(loop.now() + limits.acceptPause(), at -> {
+  private void scheduleAccept() {
+    loop.wheel().arm(loop.now() + limits.acceptPause(), now -> {
       if (paused) {
         accept();
       }
@@ -115,8 +115,8 @@
   public void close() {
     try {
       server.close();
-    } catch (IOException closed) {
-      // nothing listens any more either way
+    } catch (IOException fault) {
+      // the socket is unusable either way
     }
   }
 }
--- a/proxy/src/main/java/amberhoist/net/Connection.java
+++ b/proxy/src/main/java/amberhoist/net/Connection.java
@@ -7,19 +7,19 @@
 import java.nio.channels.AsynchronousSocketChannel;
 import java.util.ArrayDeque;
 
-/** A socket with its state: the lines it brings, and a bounded queue of what is to be written to it. */
+/** A socket with its state: a buffer of received bytes, split into lines, and a queue of bytes to be written. */
 public final class Connection {
-  /** What a connection is for. */
+  /** The purpose of a connection. */
   public enum Role {
-    /** From a client that has not asked for anything yet. */
+    /** From a client that has not sent its open request yet. */
     NEW,
-    /** From a client whose invocation is held or called, or joined to a provider. */
+    /** From a client whose invocation is pending, has an attempt in flight, or is established with a provider. */
     CLIENT,
     /** To a provider. */
     PROVIDER
   }
 
-  private static final int FIRST_BUFFER = 512;
+  private static final int INITIAL_BUFFER_BYTES = 512;
 
   final AsynchronousSocketChannel channel;
   final Handler handler;
@@ -29,21 +29,21 @@
   long invocation = SlotTable.NONE;
   long peer = SlotTable.NONE;
   Object attachment;
-  ByteBuffer in = ByteBuffer.allocate(FIRST_BUFFER);
-  int scanned; // bytes of the buffer known to hold no line end
+  ByteBuffer in = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
+  int scanned; // bytes at the start of the buffer known to contain no line end
   int queued;
-  int discarded; // bytes that came after its answer
+  int discarded; // bytes received after the final answer
   long linger;
   boolean connected;
   boolean reading;
   boolean writing;
-  boolean unwritable; // a write has failed: what the peer has said until then is still read
+  boolean unwritable; // a write has failed; input that the peer sent before is still read
   boolean joined;
-  /** The queue is to be written out and the sending side ended; nothing more is taken in. */
+  /** The queue is being flushed before the sending side is ended; further input is discarded. */
   boolean finishing;
-  boolean finished; // the sending side has been ended
+  boolean finished; // FIN has been sent
   boolean inputEnded;
-  Runnable written; // runs when the queue has been written out
+  Runnable written; // runs once the queue has been written; may be null
   Timer timer;
 
   Connection(AsynchronousSocketChannel channel, Role role, Handler handler, long linger) {
@@ -53,86 +53,86 @@
     this.linger = linger;
   }
 
-  /** Its number in the table of connections. */
+  /** The id of this connection in the table of connections. */
   public long number() {
     return number;
   }
 
-  /** What it is for. */
+  /** The purpose of this connection. */
   public Role role() {
     return role;
   }
 
-  /** Its handler, which the front or the provider side gave it. */
+  /** The handler of the protocol spoken on this connection. */
   public Handler handler() {
     return handler;
   }
 
-  /** The invocation it belongs to, or {@link SlotTable#NONE}. */
+  /** The id of the invocation that this connection belongs to, or {@link SlotTable#NONE}. */
   public long invocation() {
     return invocation;
   }
 
-  /** Names the invocation it belongs to. */
-  public void invocation(long theInvocation) {
-    invocation = theInvocation;
+  /** Sets the id of the invocation that this connection belongs to. */
+  public void invocation(long newInvocation) {
+    invocation = newInvocation;
   }
 
-  /** The number of the connection at the other side, or {@link SlotTable#NONE}. */
+  /** The id of the connection that lines are relayed to, or {@link SlotTable#NONE}. */
   public long peer() {
     return peer;
   }
 
-  /** Whether lines pass between it and its peer. */
+  /** Whether lines are relayed between this connection and its peer. */
   public boolean joined() {
     return joined;
   }
 
-  /** Whether it is being ended: nothing more is taken from it. */
+  /** Whether this connection is being ended, so that further input is discarded. */
   public boolean finishing() {
     return finishing;
   }
 
-  /** How many bytes have come that nobody has taken. */
+  /** The number of bytes received and not yet consumed. */
   public int pending() {
     return in.position();
   }
 
-  /** What its protocol keeps for it, null at first. */
+  /** The state that the protocol handler keeps for this connection, initially null. */
   public Object attachment() {
     return attachment;
   }
 
-  /** Keeps this for its protocol. */
-  public void attach(Object theAttachment) {
-    attachment = theAttachment;
+  /** Sets the state that the protocol handler keeps for this connection. */
+  public void attach(Object newAttachment) {
+    attachment = newAttachment;
   }
 
-  /** Waits so many microseconds for the peer's end once ours is sent, in place of the usual time. */
+  /** Overrides how many microseconds to wait for the peer to end its side after FIN has been sent. */
   public void linger(long micros) {
     linger = micros;
   }
 
-  /** Sets the timer of the connection, in place of the one it had. */
-  public void timer(Timer theTimer) {
+  /** Sets the timer of this connection and cancels the previous one; null only cancels. */
+  public void timer(Timer newTimer) {
     if (timer != null) {
       timer.cancel();
     }
-    timer = theTimer;
+    timer = newTimer;
   }
 
   /**
-   * The next whole line of the input, its end included, or null.
+   * Removes the next complete line from the input, line end included; null if there is none yet.
    *
-   * @param longest the longest line that the protocol allows, its end included
-   * @throws IOException when a line is longer
+   * @param maxLength the maximum length of a line in bytes, line end included
+   * @throws IOException if a line is longer
    */
-  public byte[] line(int longest) throws IOException {
+  public byte[] line(int maxLength) throws IOException {
     int end = in.position();
     for (int i = scanned; i < end; i++) {
       if (in.get(i) == '\n') {
-        if (i >= longest) {
-          throw new IOException("overlong line");
+        if (i >= maxLength) {
+          throw new IOException("line exceeds the maximum length");
         }
         byte[] line = new byte[i + 1];
         in.flip().get(line);
@@ -142,35 +142,35 @@
       }
     }
     scanned = end;
-    if (end >= longest) {
-      throw new IOException("overlong line");
+    if (end >= maxLength) {
+      throw new IOException("line exceeds the maximum length");
     }
     if (!in.hasRemaining()) {
-      ByteBuffer larger = ByteBuffer.allocate(Math.min(2 * in.capacity(), longest));
+      ByteBuffer larger = ByteBuffer.allocate(Math.min(2 * in.capacity(), maxLength));
       in = larger.put(in.flip());
     }
     return null;
   }
 
-  /** The address of the other end, for the log; made only when a line of it is written. */
+  /** The remote address, for the log; looked up only when a log line is written. */
   @Override
   public String toString() {
     try {
       return String.valueOf(channel.getRemoteAddress());
-    } catch (IOException gone) {
+    } catch (IOException fault) {
       return "gone";
     }
   }
 
-  /** Closes the socket at once. */
+  /** Closes the socket immediately. */
   void close() {
     if (timer != null) {
       timer.cancel();
     }
     try {
       channel.close();
-    } catch (IOException gone) {
-      // a socket that cannot be closed any more is as good as closed
+    } catch (IOException fault) {
+      // the socket is unusable either way
     }
   }
 }
--- a/proxy/src/main/java/amberhoist/net/DescriptorBudget.java
+++ b/proxy/src/main/java/amberhoist/net/DescriptorBudget.java
@@ -7,76 +7,80 @@
 import java.util.function.Consumer;
 
 /**
- * Who holds descriptors, and who has to give one up. Guards against clients that connect and say nothing, or
- * never close, taking the descriptors that usual clients need: a client counts twice from its first line on,
- * for the provider connection that it will want, and while that does not fit, one that nothing is owed goes: the
- * oldest that has been answered, else the one that has been silent longest.
+ * Tracks which connections hold file descriptors and evicts some when descriptors run short, so that clients that stay
+ * idle or never close do not take the descriptors that other clients need. From its open request on, a client counts
+ * twice, since it will need a provider connection as well. Only connections that are owed no answer are evicted: first
+ * the oldest of those already answered, then the client that has been idle longest before its open request.
  */
 public final class DescriptorBudget {
-  private static final int SPARE = 16;
+  private static final int SPARE_DESCRIPTORS = 16;
+
+  /** Clients that have not sent their open request yet, longest idle first. */
+  private final Set<Connection> awaitingRequest = new LinkedHashSet<>();
+
+  /** Connections being ended whose peer has not ended its side yet, oldest first. */
+  private final Set<Connection> finishing = new LinkedHashSet<>();
 
-  private final Set<Connection> fresh = new LinkedHashSet<>(); // no whole first line yet, the longest silent first
-  private final Set<Connection> ending = new LinkedHashSet<>(); // answered; the peer has not ended its side
   private final Consumer<Connection> evict;
   private int clients;
   private int providers;
-  private int most;
+  private int maxDescriptors;
 
-  /** A descriptors that ends connections in this way; they leave it on that occasion. */
+  /** Creates a budget; {@code evict} must close the connection, which removes it from this budget. */
   public DescriptorBudget(Consumer<Connection> evict) {
     this.evict = evict;
   }
 
-  /** Holds so many at most from now on; those served above that are not cut off. */
-  public void limit(int descriptors) {
-    most = descriptors;
+  /** Sets the maximum number of descriptors; connections served beyond it are kept. */
+  public void limit(int newMaximum) {
+    maxDescriptors = newMaximum;
   }
 
-  /** An accepted connection. */
-  void arrived(Connection c) {
-    fresh.add(c);
+  /** A connection has been accepted. */
+  void arrived(Connection connection) {
+    awaitingRequest.add(connection);
   }
 
-  /** Bytes have come from one that has not asked yet. Guards against slow clients going before a crowd of idle ones. */
-  void heard(Connection c) {
-    if (fresh.remove(c)) {
-      fresh.add(c);
+  /** A client has sent bytes before its open request; makes idle clients be evicted before slow ones. */
+  void heard(Connection connection) {
+    if (awaitingRequest.remove(connection)) {
+      awaitingRequest.add(connection);
     }
   }
 
-  /** A connection now belongs to an invocation: a client after its first line, or one to a provider. */
-  void taken(Connection c) {
-    fresh.remove(c);
-    count(c, 1);
+  /** A connection now serves an invocation: a client after its open request, or a connection to a provider. */
+  void taken(Connection connection) {
+    awaitingRequest.remove(connection);
+    count(connection, 1);
   }
 
-  /** A connection is being ended, and is held until its peer ends it too. */
-  void ends(Connection c) {
-    if (!fresh.remove(c)) {
-      count(c, -1);
+  /** A connection is being ended and is held until its peer ends it too. */
+  void ends(Connection connection) {
+    if (!awaitingRequest.remove(connection)) {
+      count(connection, -1);
     }
-    ending.add(c);
+    finishing.add(connection);
   }
 
-  /** A connection is closed. */
-  void left(Connection c) {
-    if (!ending.remove(c) && !fresh.remove(c)) {
-      count(c, -1);
+  /** A connection has been closed. */
+  void left(Connection connection) {
+    if (!finishing.remove(connection) && !awaitingRequest.remove(connection)) {
+      count(connection, -1);
     }
   }
 
-  private void count(Connection c, int by) {
-    if (c.role == Role.PROVIDER) {
-      providers += by;
+  private void count(Connection connection, int delta) {
+    if (connection.role == Role.PROVIDER) {
+      providers += delta;
     } else {
-      clients += by;
+      clients += delta;
     }
   }
 
-  /** Makes room for so many descriptors more, as far as that goes; whether there is room now. */
-  public boolean room(int wanted) {
-    while (held() + wanted > most) {
-      Iterator<Connection> oldest = (ending.isEmpty() ? fresh : ending).iterator();
+  /** Evicts connections until the given number of further descriptors is available; false if it cannot be reached. */
+  public boolean room(int additional) {
+    while (held() + additional > maxDescriptors) {
+      Iterator<Connection> oldest = (finishing.isEmpty() ? awaitingRequest : finishing).iterator();
       if (!oldest.hasNext()) {
         return false;
       }
@@ -85,17 +89,17 @@
     return true;
   }
 
-  /** Whether those that are served leave too little to accept and answer others with. */
+  /** Whether the connections being served leave too few descriptors to accept and answer further clients. */
   public boolean crowded() {
-    return served() + SPARE > most;
+    return descriptorsServed() + SPARE_DESCRIPTORS > maxDescriptors;
   }
 
-  /** How many descriptors are held, with those that clients will want. */
+  /** The number of descriptors held, including those reserved for the provider connections of clients. */
   public int held() {
-    return fresh.size() + ending.size() + served();
+    return awaitingRequest.size() + finishing.size() + descriptorsServed();
   }
 
-  private int served() {
+  private int descriptorsServed() {
     return clients + Math.max(clients, providers);
   }
 }
--- a/proxy/src/main/java/amberhoist/net/DirectoryWatch.java
+++ b/proxy/src/main/java/amberhoist/net/DirectoryWatch.java
@@ -21,35 +21,35 @@
 import java.util.Set;
 
 /**
- * Keeps a watch on the directory. A watch that fails, breaks or falls silent is followed by another after a
- * pause that grows with each failure but stays far inside the time for which a list may go unasked.
+ * Watches the directory for changes. When a watch cannot be established, breaks or becomes silent, another one starts
+ * after a pause that grows with each failure, but stays far below the time for which the list may go unrefreshed.
  */
 public final class DirectoryWatch {
-  private static final int BUFFER = 16_384;
+  private static final int BUFFER_BYTES = 16_384;
 
-  /** One watch; what comes late for an earlier one finds another here and changes nothing. */
+  /** One watch; I/O completions of an earlier watch are ignored, since its id is no longer in the table. */
   private final class Watch {
     final AsynchronousSocketChannel channel;
     final WatchParser parser = new WatchParser();
-    final ByteBuffer buffer = ByteBuffer.allocate(BUFFER);
-    ByteBuffer query;
+    final ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
+    ByteBuffer request;
 
     Watch(AsynchronousSocketChannel channel) {
       this.channel = channel;
     }
   }
 
-  /** What goes wrong with the watch, as the log is told. */
+  /** Receives the faults of the watch, to log them. */
   public interface Faults {
-    /** A watch failed; another follows after so many milliseconds. */
+    /** A watch has failed; the next one starts after the given pause in milliseconds. */
     void failed(String why, long pause);
 
-    /** Entries for these providers could not be read; they stay as they were. */
+    /** The entries of these providers could not be read; their previous entries remain valid. */
     void unread(Set<String> providers);
   }
 
-  private interface Step<V> {
-    void on(Watch watch, V result) throws IOException;
+  private interface Completion<V> {
+    void complete(Watch watch, V result) throws IOException;
   }
 
   private final Loop loop;
@@ -59,28 +59,28 @@
   private InetSocketAddress address;
   private final Random random;
   private final SlotTable<Watch> watches = new SlotTable<>();
-  private long current = SlotTable.NONE;
+  private long currentId = SlotTable.NONE;
   private long index;
-  private final Faults faults;
+  private final Faults listener;
   private WatchTiming timing;
   private long pause;
   private Timer timer;
   private boolean closed;
 
-  private final CompletionHandler<Void, Long> connected = handler((watch, none) -> write(watch));
-  private final CompletionHandler<Integer, Long> wrote = handler((watch, bytes) -> write(watch));
-  private final CompletionHandler<Integer, Long> read = handler(this::read);
+  private final CompletionHandler<Void, Long> connectHandler = completion((watch, none) -> writeOrRead(watch));
+  private final CompletionHandler<Integer, Long> writeHandler = completion((watch, bytes) -> writeOrRead(watch));
+  private final CompletionHandler<Integer, Long> readHandler = completion(this::onRead);
 
   /**
-   * A watch on the directory at this address, from this version of the list on.
+   * Creates a watch on the directory at the given address, from the given version of the list on.
    */
   public DirectoryWatch(Loop loop, Core core, AddressBook addresses, Counters counters, WatchTiming timing,
-      InetSocketAddress address, long index, long seed, Faults faults) {
+      InetSocketAddress address, long index, long seed, Faults listener) {
     this.loop = loop;
     this.core = core;
     this.addresses = addresses;
     this.timing = timing;
-    this.faults = faults;
+    this.listener = listener;
     pause = timing.pause();
     this.counters = counters;
     this.address = address;
@@ -88,44 +88,44 @@
     random = new Random(seed);
   }
 
-  private <V> CompletionHandler<V, Long> handler(Step<V> step) {
+  private <V> CompletionHandler<V, Long> completion(Completion<V> completion) {
     return new CompletionHandler<>() {
       @Override
-      public void completed(V result, Long number) {
+      public void completed(V result, Long watchId) {
         loop.run(() -> {
-          Watch watch = watches.get(number);
+          Watch watch = watches.get(watchId);
           try {
             if (watch != null) {
-              step.on(watch, result);
+              completion.complete(watch, result);
             }
           } catch (IOException fault) {
-            broken(number, fault.getMessage());
+            onBroken(watchId, fault.getMessage());
           }
         });
       }
 
       @Override
-      public void failed(Throwable fault, Long number) {
-        loop.run(() -> broken(number, fault.toString()));
+      public void failed(Throwable fault, Long watchId) {
+        loop.run(() -> onBroken(watchId, fault.toString()));
       }
     };
   }
 
-  /** Watches, unless it does already or is about to. */
+  /** Starts a watch unless one is running or scheduled. */
   public void ensure() {
-    if (current == SlotTable.NONE && timer == null && !closed) {
+    if (currentId == SlotTable.NONE && timer == null && !closed) {
       start();
     }
   }
 
-  /** Goes by other times from the next wait on. */
-  public void timing(WatchTiming others) {
-    timing = others;
+  /** Changes the timing, which applies from the next timeout or pause on. */
+  public void timing(WatchTiming newTiming) {
+    timing = newTiming;
   }
 
   /**
-   * Watches the directory at another address from now on, and at once. The list stays until the new one tells
-   * otherwise. It is asked for all of it, since it may number its versions in its own way.
+   * Switches immediately to a directory at another address. The current list remains valid until the new directory
+   * replaces it; the whole list is requested, since the new directory may number its versions differently.
    */
   public void move(InetSocketAddress to) {
     if (to.equals(address) || closed) {
@@ -133,13 +133,13 @@
     }
     address = to;
     index = 0;
-    pause = timing.pause(); // guards against a back-off, earned by the old address, that lasts too long
+    pause = timing.pause(); // the back-off caused by the old address must not delay the new one
     if (timer != null) {
       timer.cancel();
       timer = null;
     }
-    discard(current); // whatever still comes of it finds no watch
-    current = SlotTable.NONE;
+    discard(currentId); // late completions of the old watch are ignored
+    currentId = SlotTable.NONE;
     start();
   }
 
@@ -147,121 +147,121 @@
     counters.add(Count.DIRECTORY_WATCHES);
     try {
       Watch watch = new Watch(AsynchronousSocketChannel.open(loop.group()));
-      long number = watches.add(watch);
-      current = number;
+      long watchId = watches.add(watch);
+      currentId = watchId;
       String host = address.getAddress().getHostAddress() + ':' + address.getPort();
-      watch.query = ByteBuffer.wrap(("GET /v1/servers?follow=1&since=" + index + " HTTP/1.1\r\nHost: " + host
+      watch.request = ByteBuffer.wrap(("GET /v1/servers?follow=1&since=" + index + " HTTP/1.1\r\nHost: " + host
           + "\r\nAccept: application/json\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
-      silenceAfter(timing.firstAnswer(), number);
-      watch.channel.connect(address, number, connected);
+      armSilenceTimer(timing.firstAnswer(), watchId);
+      watch.channel.connect(address, watchId, connectHandler);
     } catch (IOException fault) {
-      failed(fault.toString());
+      scheduleNext(fault.toString());
     }
   }
 
-  private void silenceAfter(long micros, long number) {
+  private void armSilenceTimer(long micros, long watchId) {
     if (timer != null) {
       timer.cancel();
     }
-    timer = loop.wheel().arm(loop.now() + micros, at -> broken(number, "silent"));
+    timer = loop.wheel().arm(loop.now() + micros, now -> onBroken(watchId, "no complete line within the timeout"));
   }
 
-  private void write(Watch watch) {
-    if (watch.query.hasRemaining()) {
-      watch.channel.write(watch.query, current, wrote);
+  private void writeOrRead(Watch watch) {
+    if (watch.request.hasRemaining()) {
+      watch.channel.write(watch.request, currentId, writeHandler);
     } else {
-      watch.channel.read(watch.buffer, current, read);
+      watch.channel.read(watch.buffer, currentId, readHandler);
     }
   }
 
-  private void read(Watch watch, int bytes) throws IOException {
+  private void onRead(Watch watch, int bytes) throws IOException {
     if (bytes < 0) {
-      throw new IOException("ended");
+      throw new IOException("connection closed by the directory");
     }
-    long number = current;
+    long watchId = currentId;
     watch.buffer.flip();
     List<byte[]> lines = new ArrayList<>();
     try {
       watch.parser.take(watch.buffer, lines::add);
     } finally {
       for (byte[] line : lines) {
-        news(line);
+        onLine(line);
       }
     }
-    if (!lines.isEmpty()) { // bytes alone are no sign of life: a line that never ends tells nothing
-      silenceAfter(timing.silence(), number);
+    if (!lines.isEmpty()) { // only complete lines extend the timeout: a line might never end
+      armSilenceTimer(timing.silence(), watchId);
     }
     watch.buffer.clear();
     if (watch.parser.ended()) {
-      throw new IOException("ended");
+      throw new IOException("response ended");
     }
-    if (current == number) {
-      watch.channel.read(watch.buffer, number, read);
+    if (currentId == watchId) {
+      watch.channel.read(watch.buffer, watchId, readHandler);
     }
   }
 
-  private void news(byte[] line) throws IOException {
+  private void onLine(byte[] line) throws IOException {
     if (line.length == 0) {
       pause = timing.pause();
       return;
     }
-    News news = News.parse(line, loop.clock());
-    if (!news.whole() && news.index() < index) {
-      index = 0; // guards against old changes undoing newer ones: the next watch asks for all of it
-      throw new IOException("an index that runs back");
+    News update = News.parse(line, loop.clock());
+    if (!update.whole() && update.index() < index) {
+      index = 0; // the next watch requests the whole list, so that old changes undo no newer ones
+      throw new IOException("index is lower than that of the previous update");
     }
     pause = timing.pause();
     counters.add(Count.DIRECTORY_NEWS);
-    index = news.index();
-    if (!news.unread().isEmpty()) {
+    index = update.index();
+    if (!update.unread().isEmpty()) {
       counters.add(Count.DIRECTORY_UNREAD);
-      faults.unread(news.unread());
+      listener.unread(update.unread());
     }
-    core.directory(loop.now(), news.whole() ? ListKind.FULL : ListKind.CHANGES, addresses.update(news));
+    core.directory(loop.now(), update.whole() ? ListKind.FULL : ListKind.CHANGES, addresses.update(update));
   }
 
-  private void broken(long number, String why) {
-    if (discard(number) && !closed) {
-      failed(why);
+  private void onBroken(long watchId, String reason) {
+    if (discard(watchId) && !closed) {
+      scheduleNext(reason);
     }
   }
 
-  /** Closes a watch; whether it was still in use. */
-  private boolean discard(long number) {
-    Watch watch = watches.remove(number);
+  /** Closes a watch; returns whether it was still in use. */
+  private boolean discard(long watchId) {
+    Watch watch = watches.remove(watchId);
     if (watch != null) {
       try {
         watch.channel.close();
-      } catch (IOException gone) {
-        // it is no longer used either way
+      } catch (IOException fault) {
+        // the watch is no longer used either way
       }
     }
     return watch != null;
   }
 
-  /** The list that is held stays valid; the balancer is told, and another watch follows after a pause. */
-  private void failed(String why) {
-    current = SlotTable.NONE;
+  /** Notifies the listener and the balancer, and schedules the next watch; the current list remains valid. */
+  private void scheduleNext(String reason) {
+    currentId = SlotTable.NONE;
     counters.add(Count.DIRECTORY_FAILURES);
-    long wait = pause + (long) (random.nextDouble() * pause);
+    long delay = pause + (long) (random.nextDouble() * pause);
     pause = Math.min(2 * pause, timing.pauseMost());
-    faults.failed(why, wait / 1000);
+    listener.failed(reason, delay / 1000);
     if (timer != null) {
       timer.cancel();
     }
-    timer = loop.wheel().arm(loop.now() + wait, at -> {
+    timer = loop.wheel().arm(loop.now() + delay, now -> {
       timer = null;
       start();
     });
     core.directory(loop.now(), ListKind.FAILED, List.of());
   }
 
-  /** Ends the watch for good. */
+  /** Stops watching permanently. */
   public void close() {
     closed = true;
     if (timer != null) {
       timer.cancel();
     }
-    discard(current);
+    discard(currentId);
   }
 }
--- a/proxy/src/main/java/amberhoist/net/Handler.java
+++ b/proxy/src/main/java/amberhoist/net/Handler.java
@@ -1,22 +1,22 @@
 package amberhoist.net;
 
 /**
- * What becomes of the things that happen on a connection. A connection has one handler for life, which belongs
- * to the protocol spoken on it. All calls come on the loop's thread, one after the other.
+ * Handles the events of a connection. A connection keeps one handler for its lifetime, which implements the protocol
+ * spoken on it. All methods are called on the event loop's thread.
  */
 public interface Handler {
-  /** Bytes have come; {@link Connection#line} takes them. What is left over stays for the next call. */
-  void input(Connection c);
+  /** Bytes have been received; {@link Connection#line} consumes them. The rest is kept for the next call. */
+  void input(Connection connection);
 
-  /** The peer has ended its sending side; the connection is not being ended yet. */
-  void inputEnded(Connection c);
+  /** The peer has ended its sending side; not called for a connection that is being ended. */
+  void inputEnded(Connection connection);
 
-  /** The connection broke or could not be made; it is not being ended yet. */
-  void broken(Connection c);
+  /** The connection broke or could not be established; not called for a connection that is being ended. */
+  void broken(Connection connection);
 
-  /** A connection that was being made now stands. */
-  default void connected(Connection c) {}
+  /** An outgoing connection is now connected. */
+  default void connected(Connection connection) {}
 
-  /** The connection is being ended or is closed: whatever is kept for it is free. It may be called twice. */
-  default void released(Connection c) {}
+  /** The connection is being ended or has been closed: releases the resources kept for it. May be called twice. */
+  default void released(Connection connection) {}
 }
--- a/proxy/src/main/java/amberhoist/net/Loop.java
+++ b/proxy/src/main/java/amberhoist/net/Loop.java
@@ -13,37 +13,37 @@
 import java.util.function.LongConsumer;
 
 /**
- * The one thread that owns core and module. Completions of the channel group and the wheel's ticks are tasks
- * on it; none of them may block.
+ * The single thread that runs the core and the decision module. I/O completions of the channel group and ticks of the
+ * timer wheel run as tasks on it; no task may block.
  */
 public final class Loop {
-  /** The wheel's tick: well below the 50 ms by which a time limit on sockets may be passed. */
+  /** Tick of the timer wheel in microseconds: well below the 50 ms by which a socket timeout may be late. */
   public static final long TICK = 4_000;
 
-  private static final long STALL = 5 * TICK; // far inside the 0.1 s after which nothing is done for who has left
+  private static final long STALL_MICROS = 5 * TICK; // below 0.1 s: none may start so late after its client left
 
   private final Clock clock = new Clock();
   private final Wheel wheel = new Wheel(TICK, clock.now());
   private final ScheduledThreadPoolExecutor executor;
   private final AsynchronousChannelGroup group;
-  private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
-  private final Queue<Runnable> urgent = new ConcurrentLinkedQueue<>();
+  private final ArrayDeque<Runnable> readyTasks = new ArrayDeque<>();
+  private final Queue<Runnable> urgentTasks = new ConcurrentLinkedQueue<>();
   private boolean running;
   private long lastTick = clock.now();
-  private boolean stalled; // the last tick came so late that no timer was fired in it
+  private boolean stalled; // the last tick was so late that it fired no timer
 
-  private final Consumer<Throwable> faults;
-  private final LongConsumer lag;
+  private final Consumer<Throwable> faultHandler;
+  private final LongConsumer lagListener;
 
   /**
    * Starts the thread and its channel group.
    *
-   * @param faults is told of a task that failed
-   * @param lag is told at each tick by how many microseconds it came late
+   * @param faultHandler receives every exception or error that a task throws
+   * @param lagListener receives at each tick by how many microseconds it was late
    */
-  public Loop(Consumer<Throwable> faults, LongConsumer lag) throws IOException {
-    this.faults = faults;
-    this.lag = lag;
+  public Loop(Consumer<Throwable> faultHandler, LongConsumer lagListener) throws IOException {
+    this.faultHandler = faultHandler;
+    this.lagListener = lagListener;
     executor = new ScheduledThreadPoolExecutor(1, task -> new Thread(null, task, "loop", 1 << 18));
     executor.setRemoveOnCancelPolicy(true);
     group = AsynchronousChannelGroup.withThreadPool(executor);
@@ -51,14 +51,14 @@
   }
 
   /**
-   * Fires the timers that are due, but for once after this process stood still: what has come meanwhile is still to be
-   * read, and goes first. Guards against a timer that begins something for a client whose end waits in its socket.
+   * Fires the expired timers, except on the first tick after the process was stalled, so that input received meanwhile
+   * is handled first. Otherwise a timer could start work for a client whose FIN is still unread in its socket.
    */
   private void tick() {
     long now = clock.now();
-    long late = Math.max(0, now - lastTick - TICK);
-    lag.accept(late);
-    stalled = late > STALL && !stalled;
+    long delay = Math.max(0, now - lastTick - TICK);
+    lagListener.accept(delay);
+    stalled = delay > STALL_MICROS && !stalled;
     if (!stalled) {
       wheel.advance(now);
     }
@@ -66,83 +66,83 @@
   }
 
   /**
-   * Runs a task at the next turn, ahead of all that waits; from any thread. Guards against operators waiting behind
-   * whatever a crowd of clients has brought.
+   * Queues a task ahead of all other tasks; may be called from any thread. Keeps operators' requests from waiting
+   * behind a backlog of client input.
    */
   public void ahead(Runnable task) {
-    urgent.add(task);
+    urgentTasks.add(task);
     post(() -> { });
   }
 
-  /** Runs a task behind those that are already waiting. */
+  /** Queues a task behind those already queued; may be called from any thread. */
   public void post(Runnable task) {
     executor.execute(() -> run(task));
   }
 
   /**
-   * Runs a task now, or, when called from within another task, right after that. A channel may complete an
-   * operation within the call that starts it; its handler must not act in the middle of the event at hand.
+   * Runs a task immediately or, when called from within another task, right after that one. A channel may complete an
+   * operation within the call that starts it, and its handler must not interrupt the event being handled.
    */
   public void run(Runnable task) {
-    tasks.add(task);
+    readyTasks.add(task);
     if (running) {
       return;
     }
     running = true;
-    for (Runnable next = tasks.poll(); next != null; next = tasks.poll()) {
-      for (Runnable first = urgent.poll(); first != null; first = urgent.poll()) {
-        guard(first);
+    for (Runnable next = readyTasks.poll(); next != null; next = readyTasks.poll()) {
+      for (Runnable urgent = urgentTasks.poll(); urgent != null; urgent = urgentTasks.poll()) {
+        runGuarded(urgent);
       }
-      guard(next);
+      runGuarded(next);
     }
     running = false;
   }
 
-  /** One fault must not end the loop, nor go unseen; so too when memory ran out for one task. */
-  private void guard(Runnable task) {
+  /** Runs a task and reports what it throws, errors such as OutOfMemoryError included, so that the loop goes on. */
+  private void runGuarded(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException | Error fault) {
-      faults.accept(fault);
+      faultHandler.accept(fault);
     }
   }
 
-  /** How many tasks wait that go ahead of all others. */
+  /** The number of urgent tasks queued. */
   public int waitingAhead() {
-    return urgent.size();
+    return urgentTasks.size();
   }
 
-  /** How many tasks wait, the next tick among them. */
+  /** The number of tasks queued, including the next tick. */
   public int waiting() {
     return executor.getQueue().size();
   }
 
-  /** The clock of all events. */
+  /** The current time of {@link #clock} in microseconds. */
   public long now() {
     return clock.now();
   }
 
-  /** The clock itself. */
+  /** The clock that timestamps all events. */
   public Clock clock() {
     return clock;
   }
 
-  /** All deadlines. */
+  /** The timer wheel that holds all deadlines. */
   public Wheel wheel() {
     return wheel;
   }
 
-  /** The group to open channels in. */
+  /** The group in which channels are opened. */
   public AsynchronousChannelGroup group() {
     return group;
   }
 
-  /** Closes all channels and ends the thread. */
+  /** Closes all channels and stops the thread. */
   public void close() {
     try {
       group.shutdownNow();
-    } catch (IOException closed) {
-      faults.accept(closed);
+    } catch (IOException fault) {
+      faultHandler.accept(fault);
     }
     executor.shutdownNow();
   }
--- a/proxy/src/main/java/amberhoist/net/Resets.java
+++ b/proxy/src/main/java/amberhoist/net/Resets.java
@@ -10,19 +10,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Ends a connection by a reset. Asynchronous channels do not offer SO_LINGER, the one way to ask for that, so
- * it is set behind their back; this needs {@code --add-opens java.base/sun.nio.ch}, which the jar's manifest
- * brings. Without it connections end by FIN instead.
+ * Makes the close of a channel send RST instead of FIN. This takes SO_LINGER with a timeout of zero, an option that
+ * asynchronous channels do not support, so it is set by reflection on internal classes. That requires
+ * {@code --add-opens java.base/sun.nio.ch}, which the manifest of the jar contains; without it, connections end by FIN.
  */
 final class Resets {
-  private static final Integer AT_ONCE = 0;
-  private static Field descriptor;
-  private static Object anyFamily;
-  private static final Method SET = setter();
+  private static final Integer ZERO_LINGER_SECONDS = 0;
+  private static Field descriptorField;
+  private static Object unspecifiedFamily;
+  private static final Method SET_SOCKET_OPTION = resolveSetSocketOption();
 
   private Resets() {}
 
-  private static Method setter() {
+  private static Method resolveSetSocketOption() {
     try {
       Class<?> net = Class.forName("sun.nio.ch.Net");
       Method set = net.getDeclaredMethod("setSocketOption", FileDescriptor.class, ProtocolFamily.class,
@@ -30,24 +30,25 @@
       set.setAccessible(true);
       Field unspecified = net.getDeclaredField("UNSPEC");
       unspecified.setAccessible(true);
-      anyFamily = unspecified.get(null);
-      descriptor = Class.forName("sun.nio.ch.AsynchronousSocketChannelImpl").getDeclaredField("fd");
-      descriptor.setAccessible(true);
+      unspecifiedFamily = unspecified.get(null);
+      descriptorField = Class.forName("sun.nio.ch.AsynchronousSocketChannelImpl").getDeclaredField("fd");
+      descriptorField.setAccessible(true);
       return set;
-    } catch (ReflectiveOperationException | RuntimeException shut) {
+    } catch (ReflectiveOperationException | RuntimeException fault) {
       LoggerFactory.getLogger(Resets.class)
-          .warn("connections will end by FIN where a reset was due: {}", shut.toString());
+          .warn("cannot set SO_LINGER; connections will end by FIN instead of RST: {}", fault.toString());
       return null;
     }
   }
 
-  /** Makes the coming close of this channel a reset. */
+  /** Makes the next close of this channel send RST. */
   static void arm(AsynchronousSocketChannel channel) {
-    if (SET != null && channel.isOpen()) {
+    if (SET_SOCKET_OPTION != null && channel.isOpen()) {
       try {
-        SET.invoke(null, descriptor.get(channel), anyFamily, StandardSocketOptions.SO_LINGER, AT_ONCE);
-      } catch (ReflectiveOperationException gone) {
-        // a connection that is closed already needs no reset
+        SET_SOCKET_OPTION.invoke(null, descriptorField.get(channel), unspecifiedFamily, StandardSocketOptions.SO_LINGER,
+            ZERO_LINGER_SECONDS);
+      } catch (ReflectiveOperationException fault) {
+        // the channel has been closed meanwhile
       }
     }
   }
--- a/proxy/src/main/java/amberhoist/net/Signals.java
+++ b/proxy/src/main/java/amberhoist/net/Signals.java
@@ -5,19 +5,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Signals that the JVM has no public interface for. Guards against SIGHUP ending the process: without a
- * handler set here the JVM takes it for a request to exit. The classes are reached by name, since the
- * compiler warns of any mention of them and warnings are errors here.
+ * Handles signals for which the JVM has no public API. Without a handler for SIGHUP, the JVM exits on it. The internal
+ * classes are accessed by reflection because the compiler warns of any direct use, and warnings are errors here.
  */
 public final class Signals {
   private Signals() {}
 
-  /** Runs this on a thread of its own at each SIGHUP, in place of ending the process. */
+  /** Runs the task on a separate thread at each SIGHUP, instead of ending the process. */
   public static void onHangup(Runnable task) {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
       Class<?> handler = Class.forName("sun.misc.SignalHandler");
-      InvocationHandler body = (self, method, args) -> switch (method.getName()) {
+      InvocationHandler invocationHandler = (self, method, args) -> switch (method.getName()) {
         case "handle" -> {
           task.run();
           yield null;
@@ -26,12 +25,13 @@
         case "hashCode" -> System.identityHashCode(self);
         default -> "hangup";
       };
-      Object ours = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler}, body);
+      Object handlerProxy =
+          Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler}, invocationHandler);
       signal.getMethod("handle", signal, handler)
-          .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), ours);
-    } catch (ReflectiveOperationException | RuntimeException shut) {
+          .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), handlerProxy);
+    } catch (ReflectiveOperationException | RuntimeException fault) {
       LoggerFactory.getLogger(Signals.class)
-          .warn("SIGHUP will end this process, no handler can be set: {}", shut.toString());
+          .warn("cannot set a handler for SIGHUP, which will end this process: {}", fault.toString());
     }
   }
 }
--- a/proxy/src/main/java/amberhoist/net/SocketLimits.java
+++ b/proxy/src/main/java/amberhoist/net/SocketLimits.java
@@ -1,15 +1,16 @@
 package amberhoist.net;
 
 /**
- * What one connection may cost, in microseconds and bytes. The operator's file may set it.
+ * Limits on the resources of one connection; the operator's file may set them.
  *
- * @param linger for the peer to end its side after ours
- * @param queue above this many bytes waiting to be written, the other side is not read from
- * @param discard bytes taken in after the final answer; the rest is not read
- * @param acceptPause before another accept when one failed
- * @param backlog connections that wait to be accepted
+ * @param linger microseconds to wait for the peer to end its side after ours
+ * @param queue bytes; while more than this wait to be written, the other connection of the pair is not read
+ * @param discard bytes read and discarded after the final answer; any more are not read
+ * @param acceptPause microseconds to wait before the next accept after one has failed or descriptors ran out
+ * @param backlog maximum number of connections waiting to be accepted
  */
-public record SocketLimits(long linger, int queue, int discard, long acceptPause, int backlog) {
-  /** What holds where nothing else is set. */
+public record SocketLimits(long linger, int queue, int discard, long acceptPause,
+    int backlog) {
+  /** The default limits. */
   public static final SocketLimits DEFAULT = new SocketLimits(1_000_000, 16_384, 65_536, 50_000, 1024);
 }
--- a/proxy/src/main/java/amberhoist/net/Transport.java
+++ b/proxy/src/main/java/amberhoist/net/Transport.java
@@ -13,12 +13,12 @@
 import java.util.function.Consumer;
 
 /**
- * The table of connections, and what can be done to one: reading, writing its queue, ending it in good order or
- * by a reset. It knows no protocol; what comes is told to each connection's {@link Handler}. All of it runs on
- * the loop's thread.
+ * The table of connections and the operations on them: reading, writing queued bytes, closing gracefully or by a
+ * reset. It knows no protocol and passes all events to the {@link Handler} of the connection. Everything
+ * runs on the event loop's thread.
  *
- * <p>Two connections that are joined hold each other up: while much waits to be written to one of them, the
- * other is not read from.
+ * <p>Two connections that relay lines to each other exert backpressure: while too many bytes wait to be written to one
+ * of them, the other is not read.
  */
 public final class Transport {
   private final Loop loop;
@@ -26,306 +26,308 @@
   private SocketLimits limits;
   private final SlotTable<Connection> connections = new SlotTable<>();
 
-  private final CompletionHandler<Void, Long> connected = handler((c, none) -> {
-    c.connected = true;
-    c.handler.connected(c);
+  private final CompletionHandler<Void, Long> connectHandler = completion((connection, none) -> {
+    connection.connected = true;
+    connection.handler.connected(connection);
   }, this::broken);
-  private final CompletionHandler<Integer, Long> read = handler((c, n) -> {
-    c.reading = false;
-    read(c, n);
+  private final CompletionHandler<Integer, Long> readHandler = completion((connection, bytes) -> {
+    connection.reading = false;
+    onRead(connection, bytes);
   }, this::broken);
-  private final CompletionHandler<Integer, Long> wrote = handler((c, n) -> {
-    c.writing = false;
-    c.queued -= n;
-    write(c);
-  }, this::unwritable);
-
-  private interface Completed<V> {
-    void on(Connection connection, V result);
+  private final CompletionHandler<Integer, Long> writeHandler = completion((connection, bytes) -> {
+    connection.writing = false;
+    connection.queued -= bytes;
+    write(connection);
+  }, this::onWriteFailed);
+
+  private interface Completion<V> {
+    void complete(Connection connection, V result);
   }
 
-  /** A transport on this loop, whose descriptors this descriptors counts. */
+  /** Creates a transport on this event loop that accounts for its descriptors in this budget. */
   public Transport(Loop loop, DescriptorBudget descriptors, SocketLimits limits) {
     this.loop = loop;
     this.descriptors = descriptors;
     this.limits = limits;
   }
 
-  /** Goes by other limits from now on; what is queued already stays. */
-  public void limits(SocketLimits others) {
-    limits = others;
+  /** Changes the limits; bytes already queued stay queued. */
+  public void limits(SocketLimits newLimits) {
+    limits = newLimits;
   }
 
-  /** A handler that finds its connection by number: a late completion finds none and changes nothing. */
-  private <V> CompletionHandler<V, Long> handler(Completed<V> completed, Consumer<Connection> failed) {
+  /** A completion handler that looks its connection up by id, so that completions after its close are ignored. */
+  private <V> CompletionHandler<V, Long> completion(Completion<V> onCompleted, Consumer<Connection> onFailed) {
     return new CompletionHandler<>() {
       @Override
-      public void completed(V result, Long number) {
-        loop.run(() -> on(number, c -> completed.on(c, result)));
+      public void completed(V result, Long id) {
+        loop.run(() -> on(id, connection -> onCompleted.complete(connection, result)));
       }
 
       @Override
-      public void failed(Throwable fault, Long number) {
-        loop.run(() -> on(number, failed));
+      public void failed(Throwable fault, Long id) {
+        loop.run(() -> on(id, onFailed));
       }
     };
   }
 
-  /** Takes in a connection that stands; the caller says what becomes of it, and then reads. */
+  /** Registers an accepted connection; the caller sets it up and then starts reading. */
   public Connection accepted(AsynchronousSocketChannel channel, Handler handler) {
-    Connection c = new Connection(channel, Role.NEW, handler, limits.linger());
-    c.number = connections.add(c);
-    descriptors.arrived(c);
-    c.connected = true;
-    noDelay(c);
-    return c;
+    Connection connection = new Connection(channel, Role.NEW, handler, limits.linger());
+    connection.number = connections.add(connection);
+    descriptors.arrived(connection);
+    connection.connected = true;
+    setNoDelay(connection);
+    return connection;
   }
 
   /**
-   * Begins a connection to a provider on behalf of a client's invocation.
+   * Starts to connect to a provider on behalf of a client's invocation.
    *
-   * @throws IOException when no socket can be had
+   * @throws IOException if no socket can be opened or connected
    */
   public Connection dial(InetSocketAddress address, long invocation, Connection client, Handler handler)
       throws IOException {
-    Connection c = provider(handler);
-    c.invocation = invocation;
-    c.peer = client.number;
-    return connect(c, address);
+    Connection connection = openToProvider(handler);
+    connection.invocation = invocation;
+    connection.peer = client.number;
+    return startConnect(connection, address);
   }
 
   /**
-   * Begins a connection to a provider that no client waits for.
+   * Starts to connect to a provider for a connection that belongs to no client.
    *
-   * @throws IOException when no socket can be had
+   * @throws IOException if no socket can be opened or connected
    */
   public Connection dial(InetSocketAddress address, Handler handler) throws IOException {
-    return connect(provider(handler), address);
+    return startConnect(openToProvider(handler), address);
   }
 
-  private Connection provider(Handler handler) throws IOException {
+  private Connection openToProvider(Handler handler) throws IOException {
     AsynchronousSocketChannel channel = AsynchronousSocketChannel.open(loop.group());
-    Connection c = new Connection(channel, Role.PROVIDER, handler, limits.linger());
-    c.number = connections.add(c);
-    descriptors.taken(c);
-    noDelay(c);
-    return c;
+    Connection connection = new Connection(channel, Role.PROVIDER, handler, limits.linger());
+    connection.number = connections.add(connection);
+    descriptors.taken(connection);
+    setNoDelay(connection);
+    return connection;
   }
 
-  private Connection connect(Connection c, InetSocketAddress address) throws IOException {
+  private Connection startConnect(Connection connection, InetSocketAddress address) throws IOException {
     try {
-      c.channel.connect(address, c.number, connected);
+      connection.channel.connect(address, connection.number, connectHandler);
     } catch (RuntimeException fault) {
-      drop(c); // an address that no socket can be connected to
+      drop(connection); // the address is invalid for a connect
       throw new IOException(fault.toString(), fault);
     }
-    return c;
+    return connection;
   }
 
-  private static void noDelay(Connection c) {
+  private static void setNoDelay(Connection connection) {
     try {
-      c.channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-    } catch (IOException gone) {
-      // the first read or write will tell
+      connection.channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+    } catch (IOException fault) {
+      // the first read or write will fail and report it
     }
   }
 
-  /** A new client has asked for a connection: from now on it counts as one that is served. */
-  public void taken(Connection c) {
-    c.role = Role.CLIENT;
-    descriptors.taken(c);
+  /** Marks a connection as that of a client that has sent its open request, and counts it as served. */
+  public void taken(Connection connection) {
+    connection.role = Role.CLIENT;
+    descriptors.taken(connection);
   }
 
-  /** The connection with this number, or null when it is closed. */
-  public Connection get(long number) {
-    return connections.get(number);
+  /** The connection with this id, or null if it is closed. */
+  public Connection get(long id) {
+    return connections.get(id);
   }
 
-  /** Does this to a connection, if it is still there. */
-  public void on(long number, Consumer<Connection> action) {
-    Connection c = connections.get(number);
-    if (c != null) {
-      action.accept(c);
+  /** Runs the action on the connection with this id; does nothing if it is closed. */
+  public void on(long id, Consumer<Connection> action) {
+    Connection connection = connections.get(id);
+    if (connection != null) {
+      action.accept(connection);
     }
   }
 
-  /** Does this to each connection that is for this and not being ended. */
+  /** Runs the action on each connection of this role that is not being ended. */
   public void forEach(Role role, Consumer<Connection> action) {
-    List<Connection> those = new ArrayList<>(); // the action may end them
-    connections.forEach(number -> on(number, c -> {
-      if (c.role == role && !c.finishing) {
-        those.add(c);
+    List<Connection> matching = new ArrayList<>(); // a copy, since the action may remove connections
+    connections.forEach(id -> on(id, connection -> {
+      if (connection.role == role && !connection.finishing) {
+        matching.add(connection);
       }
     }));
-    those.forEach(action);
+    matching.forEach(action);
   }
 
-  /** How many connections are held. */
+  /** The number of open connections. */
   public int size() {
     return connections.size();
   }
 
-  /** Whether this connection is still in the table. */
-  public boolean holds(Connection c) {
-    return connections.get(c.number) == c;
+  /** Whether this connection is still open. */
+  public boolean holds(Connection connection) {
+    return connections.get(connection.number) == connection;
   }
 
-  /** Joins client and provider: from now on each holds up the other, and their ends are each other's. */
+  /** Starts to relay lines between client and provider; backpressure applies, and when one ends, the other does too. */
   public void join(Connection client, Connection provider) {
     client.peer = provider.number;
     client.joined = true;
     provider.joined = true;
   }
 
-  /** Reads on, unless that is going on, not wanted any more, or held up by the other side. */
-  public void read(Connection c) {
-    Connection peer = connections.get(c.peer);
-    boolean held = c.joined && !c.finishing && peer != null && peer.queued > limits.queue();
-    boolean wanted = c.discarded <= limits.discard();
-    if (!c.reading && !c.inputEnded && !held && wanted && holds(c)) {
-      c.reading = true;
-      c.channel.read(c.in, c.number, read);
+  /** Starts a read unless one is in progress, input is no longer wanted, or the peer's queue exerts backpressure. */
+  public void read(Connection connection) {
+    Connection peer = connections.get(connection.peer);
+    boolean backpressure = connection.joined && !connection.finishing
+        && peer != null && peer.queued > limits.queue();
+    boolean inputWanted = connection.discarded <= limits.discard();
+    if (!connection.reading && !connection.inputEnded && !backpressure && inputWanted && holds(connection)) {
+      connection.reading = true;
+      connection.channel.read(connection.in, connection.number, readHandler);
     }
   }
 
-  private void read(Connection c, int bytes) {
+  private void onRead(Connection connection, int bytes) {
     if (bytes < 0) {
-      c.inputEnded = true;
-      if (c.unwritable) {
-        broken(c); // the write has taken the error that this read would have met
-      } else if (!c.finishing) {
-        c.handler.inputEnded(c);
-      } else if (c.finished) {
-        drop(c);
+      connection.inputEnded = true;
+      if (connection.unwritable) {
+        broken(connection); // the failed write has consumed the socket error that this read would have reported
+      } else if (!connection.finishing) {
+        connection.handler.inputEnded(connection);
+      } else if (connection.finished) {
+        drop(connection);
       }
       return;
     }
-    if (c.role == Role.NEW) {
-      descriptors.heard(c);
+    if (connection.role == Role.NEW) {
+      descriptors.heard(connection);
     }
-    if (c.finishing) {
-      c.in.clear(); // whatever still comes is of no interest
-      c.scanned = 0;
-      c.discarded += bytes;
+    if (connection.finishing) {
+      connection.in.clear(); // input after the final answer is discarded
+      connection.scanned = 0;
+      connection.discarded += bytes;
     } else {
-      c.handler.input(c);
+      connection.handler.input(connection);
     }
-    read(c);
+    read(connection);
   }
 
-  /** Queues bytes to be written; nothing is queued on a connection that is being ended. */
-  public void send(Connection c, byte[] bytes) {
-    if (!c.finishing && !c.unwritable) {
-      c.queue.add(ByteBuffer.wrap(bytes));
-      c.queued += bytes.length;
-      write(c);
+  /** Queues bytes to be written; ignored on a connection that is being ended or cannot be written. */
+  public void send(Connection connection, byte[] bytes) {
+    if (!connection.finishing && !connection.unwritable) {
+      connection.queue.add(ByteBuffer.wrap(bytes));
+      connection.queued += bytes.length;
+      write(connection);
     }
   }
 
-  /** The same, and runs this once all that is queued has been written. */
-  public void send(Connection c, byte[] bytes, Runnable written) {
-    c.written = written;
-    send(c, bytes);
+  /** Queues bytes to be written, and runs {@code onWritten} once the queue has been written. */
+  public void send(Connection connection, byte[] bytes, Runnable onWritten) {
+    connection.written = onWritten;
+    send(connection, bytes);
   }
 
-  /** Writes on: a channel takes one write at a time. */
-  private void write(Connection c) {
-    while (!c.queue.isEmpty() && !c.queue.peek().hasRemaining()) {
-      c.queue.remove();
+  /** Continues to write the queue; a channel allows one write at a time. */
+  private void write(Connection connection) {
+    while (!connection.queue.isEmpty() && !connection.queue.peek().hasRemaining()) {
+      connection.queue.remove();
     }
-    if (c.writing || !c.connected || !holds(c)) {
+    if (connection.writing || !connection.connected || !holds(connection)) {
       return;
     }
-    if (!c.queue.isEmpty()) {
-      c.writing = true;
-      c.channel.write(c.queue.peek(), c.number, wrote);
-    } else if (c.written != null) {
-      Runnable then = c.written;
-      c.written = null;
-      then.run();
-    } else if (c.finishing && !c.finished) {
-      c.finished = true;
-      endOutput(c);
+    if (!connection.queue.isEmpty()) {
+      connection.writing = true;
+      connection.channel.write(connection.queue.peek(), connection.number, writeHandler);
+    } else if (connection.written != null) {
+      Runnable callback = connection.written;
+      connection.written = null;
+      callback.run();
+    } else if (connection.finishing && !connection.finished) {
+      connection.finished = true;
+      endOutput(connection);
     }
-    Connection peer = connections.get(c.peer);
-    if (peer != null && c.queued <= limits.queue()) {
+    Connection peer = connections.get(connection.peer);
+    if (peer != null && connection.queued <= limits.queue()) {
       read(peer);
     }
   }
 
-  private void endOutput(Connection c) {
+  private void endOutput(Connection connection) {
     try {
-      c.channel.shutdownOutput();
-    } catch (IOException gone) {
-      drop(c);
+      connection.channel.shutdownOutput();
+    } catch (IOException fault) {
+      drop(connection);
       return;
     }
-    if (c.inputEnded) {
-      drop(c);
+    if (connection.inputEnded) {
+      drop(connection);
     } else {
-      c.timer(loop.wheel().arm(loop.now() + c.linger, at -> drop(c)));
+      connection.timer(loop.wheel().arm(loop.now() + connection.linger, now -> drop(connection)));
     }
   }
 
-  /** Ends a connection in good order: what is queued, then FIN; then it waits a little for the peer's end. */
-  public void finish(Connection c) {
-    if (c.unwritable) {
-      drop(c); // nothing can be said to it any more
-    } else if (!c.finishing && holds(c)) {
-      c.finishing = true;
-      descriptors.ends(c);
-      c.handler.released(c);
-      long patience = 2 * limits.linger(); // for a peer that takes nothing in
-      c.timer(loop.wheel().arm(loop.now() + patience, at -> drop(c)));
-      write(c);
-      read(c);
+  /** Closes a connection gracefully: writes the queue, sends FIN, then waits briefly for the peer to end its side. */
+  public void finish(Connection connection) {
+    if (connection.unwritable) {
+      drop(connection); // nothing can be written any more
+    } else if (!connection.finishing && holds(connection)) {
+      connection.finishing = true;
+      descriptors.ends(connection);
+      connection.handler.released(connection);
+      long timeoutMicros = 2 * limits.linger(); // for a peer that does not read
+      connection.timer(loop.wheel().arm(loop.now() + timeoutMicros, now -> drop(connection)));
+      write(connection);
+      read(connection);
     }
   }
 
-  /** Closes a connection at once. */
-  public void drop(Connection c) {
-    if (holds(c)) {
-      connections.remove(c.number);
-      descriptors.left(c);
-      c.handler.released(c);
-      c.close();
+  /** Closes a connection immediately, discarding its queue. */
+  public void drop(Connection connection) {
+    if (holds(connection)) {
+      connections.remove(connection.number);
+      descriptors.left(connection);
+      connection.handler.released(connection);
+      connection.close();
     }
   }
 
-  /** Ends a connection by a reset. */
-  public void reset(Connection c) {
-    Resets.arm(c.channel);
-    drop(c);
+  /** Closes a connection immediately by a reset. */
+  public void reset(Connection connection) {
+    Resets.arm(connection.channel);
+    drop(connection);
   }
 
-  /** The connection broke, could not be made, or brought what no peer may send. */
-  public void broken(Connection c) {
-    if (c.finishing) {
-      drop(c); // it has been ended already; the other side must still get what is queued for it
+  /** Handles a connection that broke, could not be established, or received invalid input. */
+  public void broken(Connection connection) {
+    if (connection.finishing) {
+      drop(connection); // already being ended; the queue of its peer must still be written
     } else {
-      c.handler.broken(c);
+      connection.handler.broken(connection);
     }
   }
 
   /**
-   * A write has failed. What the peer said before it went may still wait to be read, held up or just not seen yet: it
-   * is read to its end first, and that end is the connection's.
+   * Handles a failed write. Lines that the peer sent before it closed may still be unread, so the input is read to its
+   * end first, and the connection ends with it.
    */
-  private void unwritable(Connection c) {
-    if (c.finishing || c.inputEnded) {
-      broken(c);
+  private void onWriteFailed(Connection connection) {
+    if (connection.finishing || connection.inputEnded) {
+      broken(connection);
       return;
     }
-    c.unwritable = true;
-    c.queue.clear();
-    c.queued = 0;
-    c.timer(loop.wheel().arm(loop.now() + limits.linger() / 2, at -> broken(c))); // whoever holds up its reading
-    read(c);
-    on(c.peer, this::read); // nothing holds the other side up any more
+    connection.unwritable = true;
+    connection.queue.clear();
+    connection.queued = 0;
+    // the timer ends the connection even if backpressure prevents reading
+    connection.timer(loop.wheel().arm(loop.now() + limits.linger() / 2, now -> broken(connection)));
+    read(connection);
+    on(connection.peer, this::read); // the queue is empty, so backpressure ends
   }
 
-  /** Closes all connections at once. */
+  /** Closes all connections immediately. */
   public void close() {
-    connections.forEach(number -> on(number, this::drop));
+    connections.forEach(id -> on(id, this::drop));
   }
 }
