--- a/proxy/src/main/java/amberhoist/front/ClientSide.java
+++ b/proxy/src/main/java/amberhoist/front/ClientSide.java
@@ -3,14 +3,14 @@
 import amberhoist.net.Connection;
 import amberhoist.net.Handler;
 
-/** The handler of a client's connection: how the core's answers are said in the client's protocol. */
+/** Handles a client's connection and sends it the core's answers in the client's protocol. */
 public interface ClientSide extends Handler {
-  /** The final answer is a rejection; {@code retryAfter} microseconds, 0 for no advice. */
+  /** Answers with a rejection and closes; {@code retryAfter} in microseconds, 0 to send none. */
   void reject(Connection client, long retryAfter);
 
-  /** The final answer is that the invocation has failed. */
+  /** Answers that the invocation has failed, and closes. */
   void fail(Connection client);
 
-  /** The client is told to move, between two messages, and both sides are ended. */
+  /** Sends the client a request to move, between two lines, and closes both its connection and the provider's. */
   void move(Connection client);
 }
--- a/proxy/src/main/java/amberhoist/front/Front.java
+++ b/proxy/src/main/java/amberhoist/front/Front.java
@@ -3,16 +3,16 @@
 import java.nio.channels.AsynchronousSocketChannel;
 
 /**
- * A protocol that clients speak to the proxy. What a front owes the core, and what the core owes it, stands in
- * {@code docs/design/fronts.md}.
+ * Implements a protocol that clients speak to the proxy. {@code docs/design/fronts.md} describes the contract between
+ * a front and the core.
  */
 public interface Front {
-  /** A connection has been accepted for this front; the front gives it a {@link ClientSide} and reads from it. */
+  /** Takes over an accepted connection: sets a {@link ClientSide} as its handler and starts to read. */
   void accepted(AsynchronousSocketChannel channel);
 
   /**
-   * The proxy ends. Clients that have not asked for anything yet, and those that are still accepted, are rejected and
-   * told to wait so many microseconds: a request of theirs that is on its way then has its answer already.
+   * Called when the proxy stops. Rejects clients that have not sent their open request yet, and those accepted from now
+   * on, with {@code retryAfter} in microseconds; an open request already on its way is thereby answered.
    */
   void leave(long retryAfter);
 }
--- a/proxy/src/main/java/amberhoist/front/ProviderSide.java
+++ b/proxy/src/main/java/amberhoist/front/ProviderSide.java
@@ -3,18 +3,18 @@
 import amberhoist.net.Connection;
 import amberhoist.net.Handler;
 
-/** The handler of a connection to a provider: how an attempt is said in the provider's protocol. */
+/** Handles connections to providers and carries out attempts in the provider's protocol. */
 public interface ProviderSide extends Handler {
   /**
-   * Starts to connect on behalf of a client's invocation.
+   * Starts to connect to a provider on behalf of a client's invocation.
    *
-   * @return the new connection's number, or {@link amberhoist.core.SlotTable#NONE} if none could be started
+   * @return the id of the new connection, or {@link amberhoist.core.SlotTable#NONE} if none could be started
    */
   long dial(long invocation, Connection client, String provider);
 
-  /** Asks a provider for its load report, which the core is told, should one come. */
+  /** Requests a load report from a provider; the core is notified if one arrives. */
   void ask(String provider);
 
-  /** The connection stands: says what is asked of the provider, and that the proxy waits so long. */
+  /** Forwards the open request on a connected connection, stating how many milliseconds the proxy will wait. */
   void forward(Connection provider, long millis);
 }
--- a/proxy/src/main/java/amberhoist/front/Switchboard.java
+++ b/proxy/src/main/java/amberhoist/front/Switchboard.java
@@ -7,63 +7,63 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** Takes the core's commands to the connections that they name, each in its own protocol. */
+/** Dispatches the core's commands to the protocol handlers of the connections concerned. */
 public final class Switchboard implements Commands {
   private final Transport transport;
   private final ProviderSide providers;
-  private final Runnable watch;
+  private final Runnable ensureWatch;
   private final Consumer<String> log;
 
-  /** A switchboard that makes sure of the directory's watch, and logs, in these ways. */
-  public Switchboard(Transport transport, ProviderSide providers, Runnable watch, Consumer<String> log) {
+  /** Creates a dispatcher; {@code ensureWatch} starts the directory watch if needed, {@code log} logs a message. */
+  public Switchboard(Transport transport, ProviderSide providers, Runnable ensureWatch, Consumer<String> log) {
     this.transport = transport;
     this.providers = providers;
-    this.watch = watch;
+    this.ensureWatch = ensureWatch;
     this.log = log;
   }
 
   @Override
-  public long dial(long invocation, long client, String provider) {
-    Connection from = transport.get(client);
-    return from == null ? SlotTable.NONE : providers.dial(invocation, from, provider);
+  public long dial(long invocationId, long clientId, String provider) {
+    Connection client = transport.get(clientId);
+    return client == null ? SlotTable.NONE : providers.dial(invocationId, client, provider);
   }
 
   @Override
-  public void forward(long provider, long millis) {
-    transport.on(provider, c -> providers.forward(c, millis));
+  public void forward(long providerId, long millis) {
+    transport.on(providerId, provider -> providers.forward(provider, millis));
   }
 
   @Override
-  public void abandon(long provider) {
-    transport.on(provider, transport::drop);
+  public void abandon(long providerId) {
+    transport.on(providerId, transport::drop);
   }
 
   @Override
-  public void join(long client, long provider) {
-    Connection c = transport.get(client);
-    Connection p = transport.get(provider);
-    if (c != null && p != null) {
-      transport.join(c, p);
+  public void join(long clientId, long providerId) {
+    Connection client = transport.get(clientId);
+    Connection provider = transport.get(providerId);
+    if (client != null && provider != null) {
+      transport.join(client, provider);
     }
   }
 
-  private void client(long number, BiConsumer<ClientSide, Connection> command) {
-    transport.on(number, c -> command.accept((ClientSide) c.handler(), c));
+  private void onClient(long id, BiConsumer<ClientSide, Connection> command) {
+    transport.on(id, client -> command.accept((ClientSide) client.handler(), client));
   }
 
   @Override
-  public void reject(long client, long retryAfter) {
-    client(client, (side, c) -> side.reject(c, retryAfter));
+  public void reject(long clientId, long retryAfter) {
+    onClient(clientId, (handler, client) -> handler.reject(client, retryAfter));
   }
 
   @Override
-  public void fail(long client) {
-    client(client, ClientSide::fail);
+  public void fail(long clientId) {
+    onClient(clientId, ClientSide::fail);
   }
 
   @Override
-  public void move(long client) {
-    client(client, ClientSide::move);
+  public void move(long clientId) {
+    onClient(clientId, ClientSide::move);
   }
 
   @Override
@@ -73,7 +73,7 @@
 
   @Override
   public void watch() {
-    watch.run();
+    ensureWatch.run();
   }
 
   @Override
--- a/proxy/src/main/java/amberhoist/front/line/LineClients.java
+++ b/proxy/src/main/java/amberhoist/front/line/LineClients.java
@@ -19,14 +19,14 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The platform's lines, as clients speak them: the first line, the final answer, and the lines after it. */
+/** Speaks the line protocol with clients: the first line, the lines relayed after it, and the final answer. */
 public final class LineClients implements Front, ClientSide {
   private static final byte[] PONG = Lines.ascii("PONG\r\n");
   private static final byte[] ERR = Lines.ascii("ERR\r\n");
   private static final byte[] MOVE = Lines.ascii("MOVE\r\n");
 
-  /** What a new client may still do; it is replaced by the {@link Opening} once that has come. */
-  private static final class Greeting {
+  /** State of a client before its open request; the {@link Opening} replaces it as the attachment. */
+  private static final class PendingClient {
     int pings;
   }
 
@@ -35,15 +35,17 @@
   private final DescriptorBudget descriptors;
   private final Counters counters;
   private final EventLog log;
-  private final Map<String, Long> ids = new HashMap<>(); // of the clients held or joined
+  /** Connections of the clients being served, by the id in their open request. */
+  private final Map<String, Long> connectionIds = new HashMap<>();
   private LineLimits limits = LineLimits.DEFAULT;
-  private long mostAdvice = Long.MAX_VALUE;
+  private long maxRetryAfterMicros = Long.MAX_VALUE;
   private Core core;
-  private boolean leaving;
-  private long leaveAdvice;
+  private boolean stopping;
+  private long stopRetryAfterMicros;
 
-  /** A front for clients on this transport; {@link #wire} names its core. */
-  public LineClients(Loop loop, Transport transport, DescriptorBudget descriptors, Counters counters, EventLog log) {
+  /** Creates a front for clients on this transport; {@link #wire} must be called before the first client. */
+  public LineClients(Loop loop, Transport transport, DescriptorBudget descriptors, Counters counters,
+      EventLog log) {
     this.loop = loop;
     this.transport = transport;
     this.descriptors = descriptors;
@@ -51,203 +53,210 @@
     this.log = log;
   }
 
-  /** Names the core. */
-  public void wire(Core theCore) {
-    core = theCore;
+  /** Sets the core that handles invocations. */
+  public void wire(Core newCore) {
+    core = newCore;
   }
 
-  /** Goes by other limits, and tells rejected clients to wait no longer than so many microseconds. */
-  public void limits(LineLimits others, long longestAdvice) {
-    limits = others;
-    mostAdvice = longestAdvice;
+  /** Changes the limits and the maximum retry-after, in microseconds, that rejected clients are given. */
+  public void limits(LineLimits newLimits, long newMaxRetryAfterMicros) {
+    limits = newLimits;
+    maxRetryAfterMicros = newMaxRetryAfterMicros;
   }
 
   @Override
   public void accepted(AsynchronousSocketChannel channel) {
-    Connection c = transport.accepted(channel, this);
-    c.attach(new Greeting());
-    if (leaving) {
-      reject(c, leaveAdvice);
+    Connection client = transport.accepted(channel, this);
+    client.attach(new PendingClient());
+    if (stopping) {
+      reject(client, stopRetryAfterMicros);
       return;
     }
-    c.timer(loop.wheel().arm(loop.now() + limits.firstLine(), at -> overdue(c)));
-    transport.read(c);
+    client.timer(
+        loop.wheel().arm(loop.now() + limits.firstLine(), now -> onFirstLineTimeout(client)));
+    transport.read(client);
   }
 
-  /** No first line in time. Where none has begun, one may be on its way: what never was sent on may be tried again. */
-  private void overdue(Connection c) {
-    bad(c, "no first line in time", c.pending() > 0 ? ERR : Lines.rejection(0));
+  /**
+   * No complete first line arrived in time. If none has begun, one may still be on its way, so the client is rejected:
+   * a request that was never forwarded may be retried.
+   */
+  private void onFirstLineTimeout(Connection client) {
+    answerMalformed(client, "no complete first line within the timeout",
+        client.pending() > 0 ? ERR : Lines.rejection(0));
   }
 
   @Override
   public void leave(long retryAfter) {
-    leaving = true;
-    leaveAdvice = retryAfter;
-    transport.forEach(Role.NEW, c -> reject(c, retryAfter));
+    stopping = true;
+    stopRetryAfterMicros = retryAfter;
+    transport.forEach(Role.NEW, client -> reject(client, retryAfter));
   }
 
-  /** Makes room by ending a connection that nothing is owed, at once; one that may be about to ask is told so. */
-  public void evict(Connection c) {
+  /** Closes a connection that is owed no answer, to free its descriptor; a client that has sent nothing is rejected. */
+  public void evict(Connection client) {
     counters.add(Count.EVICTED);
-    log.tell(Event.CLIENT_EVICTED, "descriptors run short", "peer", c);
-    if (c.role() == Role.NEW && c.pending() == 0) {
-      transport.send(c, Lines.rejection(limits.crowdedAdvice()));
+    log.tell(Event.CLIENT_EVICTED, "descriptors run short", "peer", client);
+    if (client.role() == Role.NEW && client.pending() == 0) {
+      transport.send(client, Lines.rejection(limits.crowdedAdvice()));
     }
-    transport.drop(c);
+    transport.drop(client);
   }
 
   @Override
-  public void input(Connection c) {
-    if (c.role() == Role.CLIENT && !c.joined()) {
-      // Guards against lines for a provider that never saw them: a client waits after its first one.
-      malformed(c, "lines before the answer");
-      core.clientFailed(loop.now(), c.invocation());
+  public void input(Connection client) {
+    if (client.role() == Role.CLIENT && !client.joined()) {
+      // A client must wait for the answer after its first line; no provider would receive further lines.
+      failMalformed(client, "lines before the answer to the first one");
+      core.clientFailed(loop.now(), client.invocation());
       return;
     }
     try {
-      while (!c.finishing() && transport.holds(c) && (c.role() == Role.NEW || c.joined())) {
-        byte[] line = c.line(Opening.LONGEST);
+      while (!client.finishing() && transport.holds(client)
+          && (client.role() == Role.NEW || client.joined())) {
+        byte[] line = client.line(Opening.LONGEST);
         if (line == null) {
           return;
         }
-        if (c.role() == Role.NEW) {
-          firstLine(c, line);
+        if (client.role() == Role.NEW) {
+          onFirstLine(client, line);
         } else {
-          pass(c, line);
+          relayLine(client, line);
         }
       }
     } catch (IOException overlong) {
-      if (c.role() == Role.NEW) {
-        malformed(c, "a first line without end");
+      if (client.role() == Role.NEW) {
+        failMalformed(client, "first line exceeds the maximum length");
       } else {
-        transport.broken(c);
+        transport.broken(client);
       }
     }
   }
 
-  private void firstLine(Connection c, byte[] line) {
+  private void onFirstLine(Connection client, byte[] line) {
     String text = Lines.text(line);
     if (text == null) {
-      malformed(c, "a line without CRLF");
+      failMalformed(client, "line does not end in CRLF");
     } else if (text.equals("PING")) {
       counters.add(Count.PINGED);
-      if (++((Greeting) c.attachment()).pings > limits.pings()) {
-        malformed(c, "too many PINGs");
+      if (++((PendingClient) client.attachment()).pings > limits.pings()) {
+        failMalformed(client, "too many PINGs");
       } else {
-        transport.send(c, PONG);
+        transport.send(client, PONG);
       }
     } else {
       try {
-        opening(c, Opening.parse(text));
+        onOpenRequest(client, Opening.parse(text));
       } catch (MalformedLine fault) {
-        malformed(c, fault.getMessage());
+        failMalformed(client, fault.getMessage());
       }
     }
   }
 
-  private void opening(Connection c, Opening opening) {
-    if (c.pending() > 0 || ids.containsKey(opening.id())) {
-      malformed(c, c.pending() > 0 ? "lines before the answer" : "an id that is in use");
+  private void onOpenRequest(Connection client, Opening request) {
+    if (client.pending() > 0 || connectionIds.containsKey(request.id())) {
+      failMalformed(client,
+          client.pending() > 0 ? "lines before the answer to the first one" : "id is already in use");
       return;
     }
-    c.timer(null);
-    c.attach(opening);
-    transport.taken(c);
-    ids.put(opening.id(), c.number());
-    if (!descriptors.room(0) || descriptors.crowded() && opening.provider() == null) {
+    client.timer(null);
+    client.attach(request);
+    transport.taken(client);
+    connectionIds.put(request.id(), client.number());
+    if (!descriptors.room(0) || descriptors.crowded() && request.provider() == null) {
       counters.add(Count.CROWDED_OUT);
-      counters.outcomes().taken(opening.type());
-      counters.outcomes().ended(opening.type(), Outcome.REFUSED);
-      log.tell(Event.CLIENT_CROWDED_OUT, "descriptors run short", "peer", c);
-      reject(c, limits.crowdedAdvice()); // a provider connection would take the last descriptors
+      counters.outcomes().taken(request.type());
+      counters.outcomes().ended(request.type(), Outcome.REFUSED);
+      log.tell(Event.CLIENT_CROWDED_OUT, "descriptors run short", "peer", client);
+      reject(client, limits.crowdedAdvice()); // a provider connection would use the last descriptors
       return;
     }
     long arrived = loop.now();
-    // Behind what has already come in: news from the directory must reach the balancer first.
+    // Queued behind input already received, so that pending directory updates reach the balancer first.
     loop.post(() -> {
-      if (transport.holds(c) && !c.finishing()) {
-        c.invocation(core.invocation(arrived, c.number(), opening.arrival()));
+      if (transport.holds(client) && !client.finishing()) {
+        client.invocation(core.invocation(arrived, client.number(), request.arrival()));
       } else {
-        counters.outcomes().taken(opening.type()); // it left, or was told, before its turn came
-        counters.outcomes().ended(opening.type(), Outcome.REFUSED);
+        counters.outcomes().taken(request.type()); // the client disconnected or was answered meanwhile
+        counters.outcomes().ended(request.type(), Outcome.REFUSED);
       }
     });
   }
 
-  private void malformed(Connection c, String why) {
-    bad(c, why, ERR);
+  private void failMalformed(Connection client, String reason) {
+    answerMalformed(client, reason, ERR);
   }
 
-  private void bad(Connection c, String why, byte[] answer) {
+  private void answerMalformed(Connection client, String reason, byte[] answer) {
     counters.add(Count.MALFORMED);
-    log.tell(Event.CLIENT_MALFORMED, why, "peer", c);
-    c.linger(limits.badLinger());
-    answer(c, answer);
+    log.tell(Event.CLIENT_MALFORMED, reason, "peer", client);
+    client.linger(limits.badLinger());
+    answerAndFinish(client, answer);
   }
 
-  private void pass(Connection c, byte[] line) {
-    Connection provider = transport.get(c.peer());
+  private void relayLine(Connection client, byte[] line) {
+    Connection provider = transport.get(client.peer());
     if (provider != null) {
       counters.add(Count.LINES_TO_PROVIDERS);
-      core.asked(loop.now(), c.invocation(), c.peer());
+      core.asked(loop.now(), client.invocation(), client.peer());
       transport.send(provider, line);
     }
   }
 
   @Override
-  public void inputEnded(Connection c) {
-    end(c, transport::finish, false);
+  public void inputEnded(Connection client) {
+    end(client, transport::finish, false);
   }
 
   @Override
-  public void broken(Connection c) {
-    end(c, transport::reset, true);
+  public void broken(Connection client) {
+    end(client, transport::reset, true);
   }
 
-  /** The client has ended: its provider is ended the same way, and the core is told. */
-  private void end(Connection c, Consumer<Connection> ending, boolean reset) {
-    if (c.role() == Role.NEW) {
-      if (!reset && c.pending() > 0) {
-        malformed(c, "a first line that is never finished");
+  /** Handles the end of a client connection: ends its provider in the same way and notifies the core. */
+  private void end(Connection client, Consumer<Connection> close, boolean reset) {
+    if (client.role() == Role.NEW) {
+      if (!reset && client.pending() > 0) {
+        failMalformed(client, "connection ended within the first line");
       }
-      ending.accept(c);
+      close.accept(client);
       return;
     }
-    Connection provider = transport.get(c.peer());
-    if (c.joined() && provider != null) {
-      ending.accept(provider);
+    Connection provider = transport.get(client.peer());
+    if (client.joined() && provider != null) {
+      close.accept(provider);
     } else if (!reset) {
-      transport.send(c, ERR); // one final answer, also to one that only ended its sending side; an attempt may have run
+      transport.send(client, ERR); // it may have ended only its sending side; an attempt may have run
     }
-    ending.accept(c);
-    core.clientLeft(loop.now(), c.invocation());
+    close.accept(client);
+    core.clientLeft(loop.now(), client.invocation());
   }
 
   @Override
-  public void released(Connection c) {
-    if (c.attachment() instanceof Opening opening) {
-      ids.remove(opening.id(), c.number());
+  public void released(Connection client) {
+    if (client.attachment() instanceof Opening request) {
+      connectionIds.remove(request.id(), client.number());
     }
   }
 
-  private void answer(Connection c, byte[] answer) {
-    transport.send(c, answer);
-    transport.finish(c);
+  private void answerAndFinish(Connection client, byte[] answer) {
+    transport.send(client, answer);
+    transport.finish(client);
   }
 
   @Override
-  public void reject(Connection c, long retryAfter) {
-    answer(c, Lines.rejection(Math.min(retryAfter, mostAdvice)));
+  public void reject(Connection client, long retryAfter) {
+    answerAndFinish(client, Lines.rejection(Math.min(retryAfter, maxRetryAfterMicros)));
   }
 
   @Override
-  public void fail(Connection c) {
-    answer(c, ERR);
+  public void fail(Connection client) {
+    answerAndFinish(client, ERR);
   }
 
   @Override
-  public void move(Connection c) {
-    transport.on(c.peer(), transport::finish);
-    answer(c, MOVE);
+  public void move(Connection client) {
+    transport.on(client.peer(), transport::finish);
+    answerAndFinish(client, MOVE);
   }
 }
--- a/proxy/src/main/java/amberhoist/front/line/LineProviders.java
+++ b/proxy/src/main/java/amberhoist/front/line/LineProviders.java
@@ -15,16 +15,16 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** The platform's lines, as providers speak them: the forwarded first line, its answer, and the lines after it. */
+/** Speaks the line protocol with providers: the forwarded first line, the answer to it, and the lines after that. */
 public final class LineProviders implements ProviderSide {
-  /** What is kept for a connection to a provider. */
-  private static final class Leg {
-    final Opening opening;
-    /** How the provider said that the connection ends, null until it did. */
-    Outcome farewell;
-
-    Leg(Opening opening) {
-      this.opening = opening;
+  /** The state of one connection to a provider. */
+  private static final class ProviderSession {
+    final Opening request;
+    /** The outcome that the closing line of the provider announced, null until there is one. */
+    Outcome closingOutcome;
+
+    ProviderSession(Opening request) {
+      this.request = request;
     }
   }
 
@@ -32,25 +32,25 @@
   private final Transport transport;
   private final Counters counters;
   private final AddressBook addresses;
-  private final BiConsumer<String, Throwable> undialled;
+  private final BiConsumer<String, Throwable> onConnectFailed;
   private final LineReports reports;
   private Core core;
 
-  /** Providers on this transport; {@code undialled} is told of one that no socket could be had for. */
+  /** Creates a handler; {@code onConnectFailed} is called with a provider if no socket to it could be opened. */
   public LineProviders(Loop loop, Transport transport, Counters counters, AddressBook addresses,
-      BiConsumer<String, Throwable> undialled) {
+      BiConsumer<String, Throwable> onConnectFailed) {
     this.loop = loop;
     this.transport = transport;
     this.counters = counters;
     this.addresses = addresses;
-    this.undialled = undialled;
+    this.onConnectFailed = onConnectFailed;
     reports = new LineReports(loop, transport, addresses);
   }
 
-  /** Names the core. */
-  public void wire(Core theCore) {
-    core = theCore;
-    reports.wire(theCore);
+  /** Sets the core to notify of events; must be called before the first connection. */
+  public void wire(Core newCore) {
+    core = newCore;
+    reports.wire(newCore);
   }
 
   @Override
@@ -59,13 +59,13 @@
     if (address == null) {
       return SlotTable.NONE;
     }
-    Leg leg = new Leg((Opening) client.attachment());
+    ProviderSession session = new ProviderSession((Opening) client.attachment());
     try {
-      Connection c = transport.dial(address, invocation, client, this);
-      c.attach(leg);
-      return c.number();
+      Connection connection = transport.dial(address, invocation, client, this);
+      connection.attach(session);
+      return connection.number();
     } catch (IOException fault) {
-      undialled.accept(provider, fault);
+      onConnectFailed.accept(provider, fault);
       return SlotTable.NONE;
     }
   }
@@ -76,62 +76,63 @@
   }
 
   @Override
-  public void connected(Connection c) {
-    core.connected(loop.now(), c.invocation(), c.number());
+  public void connected(Connection provider) {
+    core.connected(loop.now(), provider.invocation(), provider.number());
   }
 
   @Override
-  public void forward(Connection c, long millis) {
-    transport.send(c, ((Leg) c.attachment()).opening.forward(millis),
-        () -> core.written(loop.now(), c.invocation(), c.number()));
-    transport.read(c);
+  public void forward(Connection provider, long millis) {
+    transport.send(provider, ((ProviderSession) provider.attachment()).request.forward(millis),
+        () -> core.written(loop.now(), provider.invocation(), provider.number()));
+    transport.read(provider);
   }
 
   @Override
-  public void input(Connection c) {
+  public void input(Connection provider) {
     try {
-      while (!c.finishing() && transport.holds(c)) {
-        byte[] line = c.line(Opening.LONGEST);
+      while (!provider.finishing() && transport.holds(provider)) {
+        byte[] line = provider.line(Opening.LONGEST);
         if (line == null) {
           return;
         }
         String text = Lines.text(line);
         ProviderLine kind = text == null ? ProviderLine.OTHER : ProviderLine.of(text);
-        if (c.joined()) {
-          pass(c, kind, text, line);
+        if (provider.joined()) {
+          relayLine(provider, kind, text, line);
         } else {
-          answer(c, kind, line);
+          onAnswer(provider, kind, line);
         }
       }
     } catch (IOException overlong) {
-      transport.broken(c);
+      transport.broken(provider);
     }
   }
 
-  private void pass(Connection c, ProviderLine kind, String text, byte[] line) {
+  private void relayLine(Connection provider, ProviderLine kind, String text, byte[] line) {
     if (kind != ProviderLine.LOAD) {
-      core.returned(loop.now(), c.invocation(), c.number()); // a hung provider goes on telling loads
+      // LOAD is no sign of life: a hung provider may still send it
+      core.returned(loop.now(), provider.invocation(), provider.number());
     }
     switch (kind) {
       case LOAD -> {
         double load = ProviderLine.load(text);
         if (!Double.isNaN(load)) {
-          core.load(loop.now(), c.invocation(), c.number(), load);
+          core.load(loop.now(), provider.invocation(), provider.number(), load);
         }
       }
-      case BYE -> ((Leg) c.attachment()).farewell = Outcome.SERVED;
-      case MOVE -> ((Leg) c.attachment()).farewell = Outcome.CANCELLED;
+      case BYE -> ((ProviderSession) provider.attachment()).closingOutcome = Outcome.SERVED;
+      case MOVE -> ((ProviderSession) provider.attachment()).closingOutcome = Outcome.CANCELLED;
       default -> { }
     }
-    Connection client = transport.get(c.peer());
+    Connection client = transport.get(provider.peer());
     if (client != null) {
       counters.add(Count.LINES_TO_CLIENTS);
       transport.send(client, line);
     }
   }
 
-  /** The first line of a provider: its answer to the attempt. A malformed one is the call's error. */
-  private void answer(Connection c, ProviderLine kind, byte[] line) {
+  /** Handles the first line of a provider, its answer to the attempt. A malformed one fails the attempt. */
+  private void onAnswer(Connection provider, ProviderLine kind, byte[] line) {
     if (kind != ProviderLine.UP) {
       Outcome outcome = switch (kind) {
         case BUSY -> Outcome.FULL;
@@ -139,40 +140,41 @@
         case MOVE -> Outcome.CANCELLED;
         default -> Outcome.ERROR;
       };
-      core.callEnded(loop.now(), c.invocation(), c.number(), outcome);
+      core.callEnded(loop.now(), provider.invocation(), provider.number(), outcome);
       return;
     }
-    core.up(loop.now(), c.invocation(), c.number());
-    Connection client = transport.get(c.peer());
-    if (c.joined() && client != null) {
+    core.up(loop.now(), provider.invocation(), provider.number());
+    Connection client = transport.get(provider.peer());
+    if (provider.joined() && client != null) {
       transport.send(client, line);
       transport.read(client);
     }
   }
 
   @Override
-  public void inputEnded(Connection c) {
-    end(c, transport::finish);
+  public void inputEnded(Connection provider) {
+    end(provider, transport::finish);
   }
 
   @Override
-  public void broken(Connection c) {
-    end(c, transport::reset);
+  public void broken(Connection provider) {
+    end(provider, transport::reset);
   }
 
-  /** The provider has ended: its client is ended the same way, and the core is told. */
-  private void end(Connection c, Consumer<Connection> ending) {
-    boolean wasJoined = c.joined();
-    Connection client = transport.get(c.peer());
-    if (wasJoined && client != null) {
-      ending.accept(client);
+  /** Handles the end of a provider connection: ends its client in the same way and notifies the core. */
+  private void end(Connection provider, Consumer<Connection> close) {
+    boolean wasRelaying = provider.joined();
+    Connection client = transport.get(provider.peer());
+    if (wasRelaying && client != null) {
+      close.accept(client);
     }
-    ending.accept(c);
-    if (wasJoined) {
-      Outcome farewell = ((Leg) c.attachment()).farewell;
-      core.ended(loop.now(), c.invocation(), c.number(), farewell == null ? Outcome.RESET : farewell);
+    close.accept(provider);
+    if (wasRelaying) {
+      Outcome closingOutcome = ((ProviderSession) provider.attachment()).closingOutcome;
+      core.ended(loop.now(), provider.invocation(), provider.number(),
+          closingOutcome == null ? Outcome.RESET : closingOutcome);
     } else {
-      core.callEnded(loop.now(), c.invocation(), c.number(), Outcome.RESET);
+      core.callEnded(loop.now(), provider.invocation(), provider.number(), Outcome.RESET);
     }
   }
 }
--- a/proxy/src/main/java/amberhoist/front/line/LineReports.java
+++ b/proxy/src/main/java/amberhoist/front/line/LineReports.java
@@ -10,15 +10,15 @@
 import java.net.InetSocketAddress;
 
 /**
- * Load reports, as providers give them where they may be asked: {@code STATS} on a connection of its own, answered
- * {@code PONG} and the report. Whatever goes wrong with that connection ends it; the module then has no report, and
- * nothing else depends on it.
+ * Fetches load reports from providers: sends {@code STATS} on a separate connection, which the provider answers by
+ * {@code PONG} and the report. Any fault closes that connection; the decision module then gets no report, and nothing
+ * else is affected.
  */
 final class LineReports implements Handler {
-  private static final byte[] ASK = Lines.ascii("STATS\r\n");
-  private static final String ANSWER = "PONG ";
-  private static final String HEAT = "x0=";
-  private static final long PATIENCE = 500_000; // micros: a later report would tell of another moment
+  private static final byte[] STATS_REQUEST = Lines.ascii("STATS\r\n");
+  private static final String ANSWER_PREFIX = "PONG ";
+  private static final String UTILIZATION_FIELD = "x0=";
+  private static final long TIMEOUT_MICROS = 500_000; // a later report would be out of date
 
   private final Loop loop;
   private final Transport transport;
@@ -31,59 +31,60 @@
     this.addresses = addresses;
   }
 
-  void wire(Core theCore) {
-    core = theCore;
+  void wire(Core newCore) {
+    core = newCore;
   }
 
-  /** Asks this provider, unless its address is not known or no socket can be had. */
+  /** Requests a report from a provider; does nothing if its address is not known or no socket can be opened. */
   void ask(String provider) {
     InetSocketAddress address = addresses.of(provider);
     if (address == null) {
       return;
     }
     try {
-      Connection c = transport.dial(address, this);
-      c.attach(provider);
-      c.timer(loop.wheel().arm(loop.now() + PATIENCE, at -> loop.run(() -> transport.drop(c))));
+      Connection connection = transport.dial(address, this);
+      connection.attach(provider);
+      connection.timer(
+          loop.wheel().arm(loop.now() + TIMEOUT_MICROS, now -> loop.run(() -> transport.drop(connection))));
     } catch (IOException fault) {
-      // the next one may be had
+      // the next request may succeed
     }
   }
 
   @Override
-  public void connected(Connection c) {
-    transport.send(c, ASK);
-    transport.read(c);
+  public void connected(Connection connection) {
+    transport.send(connection, STATS_REQUEST);
+    transport.read(connection);
   }
 
   @Override
-  public void input(Connection c) {
+  public void input(Connection connection) {
     byte[] line;
     try {
-      line = c.line(Opening.LONGEST);
+      line = connection.line(Opening.LONGEST);
     } catch (IOException overlong) {
-      transport.drop(c);
+      transport.drop(connection);
       return;
     }
     if (line != null) {
-      double heat = heat(Lines.text(line));
-      transport.drop(c);
-      if (!Double.isNaN(heat)) {
-        core.report(loop.now(), (String) c.attachment(), heat);
+      double utilization = heat(Lines.text(line));
+      transport.drop(connection);
+      if (!Double.isNaN(utilization)) {
+        core.report(loop.now(), (String) connection.attachment(), utilization);
       }
     }
   }
 
-  /** The load asked of a provider over what it can do, by its answer without CRLF; NaN where it is not said. */
+  /** The utilization (demand over capacity) in an answer without its CRLF; NaN if it is missing or invalid. */
   static double heat(String answer) {
-    if (answer == null || !answer.startsWith(ANSWER)) {
+    if (answer == null || !answer.startsWith(ANSWER_PREFIX)) {
       return Double.NaN;
     }
-    for (String field : answer.substring(ANSWER.length()).split(",")) {
-      if (field.startsWith(HEAT)) {
+    for (String field : answer.substring(ANSWER_PREFIX.length()).split(",")) {
+      if (field.startsWith(UTILIZATION_FIELD)) {
         try {
-          double heat = Double.parseDouble(field.substring(HEAT.length()));
-          return heat >= 0 && heat < Double.POSITIVE_INFINITY ? heat : Double.NaN;
+          double utilization = Double.parseDouble(field.substring(UTILIZATION_FIELD.length()));
+          return utilization >= 0 && utilization < Double.POSITIVE_INFINITY ? utilization : Double.NaN;
         } catch (NumberFormatException fault) {
           return Double.NaN;
         }
@@ -93,12 +94,12 @@
   }
 
   @Override
-  public void inputEnded(Connection c) {
-    transport.drop(c);
+  public void inputEnded(Connection connection) {
+    transport.drop(connection);
   }
 
   @Override
-  public void broken(Connection c) {
-    transport.drop(c);
+  public void broken(Connection connection) {
+    transport.drop(connection);
   }
 }
--- a/proxy/src/main/java/amberhoist/front/line/Lines.java
+++ b/proxy/src/main/java/amberhoist/front/line/Lines.java
@@ -2,21 +2,21 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** The bytes of the platform's lines. */
+/** Encodes and decodes lines of the platform's protocol. */
 final class Lines {
   private Lines() {}
 
-  /** A line's text without its CRLF, or null when it does not end in one. */
+  /** The text of a line without its CRLF, or null if it does not end in CRLF. */
   static String text(byte[] line) {
-    boolean ended = line.length >= 2 && line[line.length - 2] == '\r';
-    return ended ? new String(line, 0, line.length - 2, StandardCharsets.ISO_8859_1) : null;
+    boolean endsInCrLf = line.length >= 2 && line[line.length - 2] == '\r';
+    return endsInCrLf ? new String(line, 0, line.length - 2, StandardCharsets.ISO_8859_1) : null;
   }
 
   static byte[] ascii(String text) {
     return text.getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  /** The rejection that tells to wait so many microseconds, rounded up to the millisecond. */
+  /** The BUSY line for a retry-after in microseconds, rounded up to milliseconds; 0 sends none. */
   static byte[] rejection(long retryAfter) {
     long millis = (retryAfter + 999) / 1000;
     return ascii(millis > 0 ? "BUSY " + millis + "\r\n" : "BUSY\r\n");
--- a/proxy/src/main/java/amberhoist/front/line/MalformedLine.java
+++ b/proxy/src/main/java/amberhoist/front/line/MalformedLine.java
@@ -1,6 +1,6 @@
 package amberhoist.front.line;
 
-/** A line that does not follow the platform's protocol. */
+/** Thrown for a line that violates the platform's protocol. */
 public final class MalformedLine extends Exception {
   private static final long serialVersionUID = 1;
 
--- a/proxy/src/main/java/amberhoist/front/line/Opening.java
+++ b/proxy/src/main/java/amberhoist/front/line/Opening.java
@@ -6,102 +6,104 @@
 import java.util.Map;
 
 /**
- * The line with which a client opens a connection. It goes on to a provider as it came, but for {@code d}, so
- * its text is kept beside what was read from it.
+ * The first line of a client, with which it opens a connection. It is forwarded to a provider unchanged except for the
+ * value of {@code d}, so the original text is kept along with the parsed values.
  *
- * @param id new for every connection
- * @param key the flow's key
- * @param type the class
- * @param tenant the account, null where there is none
- * @param group the client or the group it belongs to, null where there is none
- * @param waitMillis how long the client waits for UP
- * @param hint the guess at the load, 0 where there is none
- * @param retry marked as a retry
- * @param returning the client's connection was moved or broke
- * @param provider where the connection already stands, null for a new one
- * @param text the line without its end
- * @param waitFrom where in the text the figure of {@code d} begins
- * @param waitTo and where it ends
+ * @param id id of the connection, unique for every connection
+ * @param key key of the flow
+ * @param type class of the connection, field {@code c}
+ * @param tenant account, field {@code t}; null if absent
+ * @param group the client or the group that it belongs to, field {@code g}; null if absent
+ * @param waitMillis milliseconds that the client waits for UP, field {@code d}
+ * @param hint the client's estimate of the load in microseconds per second, field {@code h}; 0 if absent
+ * @param retry whether the client marked the request as a retry, field {@code r}
+ * @param returning whether the client's previous connection was moved or broke, field {@code again}
+ * @param provider provider of a connection that is established already, field {@code at}; null if absent
+ * @param text the line without its CRLF
+ * @param waitFrom index in the text at which the value of {@code d} begins
+ * @param waitTo index in the text after the value of {@code d}
  */
 public record Opening(String id, String key, String type, String tenant, String group, long waitMillis,
-    double hint, boolean retry, boolean returning, String provider, String text, int waitFrom, int waitTo) {
-  /** The longest line of the protocol, its end included. */
+    double hint, boolean retry, boolean returning, String provider, String text,
+    int waitFrom, int waitTo) {
+  /** Maximum length of a line of the protocol in bytes, line end included. */
   public static final int LONGEST = 4096;
 
-  private static final String VERB = "OPEN ";
-  private static final int WAIT_MOST = 60_000; // no deployment waits that long for a new connection
-  private static final int WAIT_DIGITS = 9; // for one handed over, whose figure may be any
-  private static final double HINT_MOST = 1e9; // microseconds a second: a thousand cores
+  private static final String OPEN_PREFIX = "OPEN ";
+  private static final int MAX_WAIT_MILLIS = 60_000; // no deployment lets clients wait longer for a new connection
+  private static final int MAX_WAIT_DIGITS = 9; // d may exceed the maximum if the field at is present
+  private static final double MAX_LOAD_HINT = 1e9; // microseconds per second, as of a thousand cores
 
-  /** Reads a first line given without its CRLF. */
+  /** Parses a first line, given without its CRLF. */
   public static Opening parse(String line) throws MalformedLine {
     for (int i = 0; i < line.length(); i++) {
-      require(line.charAt(i) >= ' ' && line.charAt(i) < 0x7f, "a character that is not plain ASCII");
+      require(line.charAt(i) >= ' ' && line.charAt(i) < 0x7f, "character is not printable ASCII");
     }
-    require(line.startsWith(VERB), "no OPEN");
-    int idEnd = line.indexOf(' ', VERB.length());
-    require(idEnd > VERB.length(), "no id");
+    require(line.startsWith(OPEN_PREFIX), "line is not an OPEN");
+    int idEnd = line.indexOf(' ', OPEN_PREFIX.length());
+    require(idEnd > OPEN_PREFIX.length(), "id is missing");
     int keyEnd = line.indexOf(' ', idEnd + 1);
-    require(keyEnd > idEnd + 1, "no key");
-    require(line.indexOf(' ', keyEnd + 1) < 0, "a fifth word");
+    require(keyEnd > idEnd + 1, "key is missing");
+    require(line.indexOf(' ', keyEnd + 1) < 0, "more than four words");
     Map<String, String> values = new HashMap<>();
     int waitFrom = -1;
-    int at = keyEnd + 1;
-    while (at <= line.length()) {
-      int comma = line.indexOf(',', at);
-      int end = comma < 0 ? line.length() : comma;
-      int equals = line.indexOf('=', at);
-      require(equals > at && equals < end, "a value without a name");
-      String name = line.substring(at, equals);
-      require(values.put(name, line.substring(equals + 1, end)) == null, "a name given twice");
+    int fieldStart = keyEnd + 1;
+    while (fieldStart <= line.length()) {
+      int comma = line.indexOf(',', fieldStart);
+      int fieldEnd = comma < 0 ? line.length() : comma;
+      int equals = line.indexOf('=', fieldStart);
+      require(equals > fieldStart && equals < fieldEnd, "field is not of the form name=value");
+      String name = line.substring(fieldStart, equals);
+      require(values.put(name, line.substring(equals + 1, fieldEnd)) == null, "field is given twice");
       waitFrom = name.equals("d") ? equals + 1 : waitFrom;
-      at = end + 1;
+      fieldStart = fieldEnd + 1;
     }
-    require(values.containsKey("c"), "no class");
-    require(!"".equals(values.get("at")), "at names no provider");
-    require(waitFrom >= 0, "no d");
-    String wait = values.get("d");
-    require(whole(wait) <= WAIT_MOST || values.containsKey("at"), "d is longer than anybody waits");
-    return new Opening(line.substring(VERB.length(), idEnd), line.substring(idEnd + 1, keyEnd),
+    require(values.containsKey("c"), "field c is missing");
+    require(!"".equals(values.get("at")), "field at is empty");
+    require(waitFrom >= 0, "field d is missing");
+    String waitValue = values.get("d");
+    require(parseWaitMillis(waitValue) <= MAX_WAIT_MILLIS || values.containsKey("at"), "field d exceeds the maximum");
+    return new Opening(line.substring(OPEN_PREFIX.length(), idEnd), line.substring(idEnd + 1, keyEnd),
         values.get("c"), values.get("t"), values.get("g"),
-        whole(wait), number(values.get("h")), "1".equals(values.get("r")), "1".equals(values.get("again")),
-        values.get("at"), line, waitFrom, waitFrom + wait.length());
+        parseWaitMillis(waitValue), parseLoadHint(values.get("h")), "1".equals(values.get("r")),
+        "1".equals(values.get("again")), values.get("at"), line, waitFrom, waitFrom + waitValue.length());
   }
 
-  /** What it asks of the core. */
+  /** The arrival that the core handles for this request. */
   public Arrival arrival() {
     return new Arrival(type, tenant, key, group, waitMillis, hint, retry, returning, provider);
   }
 
-  /** The line for a provider, CRLF included, telling how long the proxy will wait. */
-  public byte[] forward(long millis) {
-    String line = text.substring(0, waitFrom) + millis + text.substring(waitTo) + "\r\n";
-    return line.getBytes(StandardCharsets.ISO_8859_1);
+  /** The line to forward to a provider, CRLF included, with the milliseconds that the proxy will wait as {@code d}. */
+  public byte[] forward(long proxyWaitMillis) {
+    String forwarded =
+        text.substring(0, waitFrom) + proxyWaitMillis + text.substring(waitTo) + "\r\n";
+    return forwarded.getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  private static long whole(String text) throws MalformedLine {
-    boolean digits = !text.isEmpty() && text.length() <= WAIT_DIGITS
+  private static long parseWaitMillis(String text) throws MalformedLine {
+    boolean isWholeNumber = !text.isEmpty() && text.length() <= MAX_WAIT_DIGITS
         && text.chars().allMatch(c -> c >= '0' && c <= '9');
-    require(digits, "d is not a whole number");
+    require(isWholeNumber, "field d is not a whole number");
     return Long.parseLong(text);
   }
 
-  private static double number(String text) throws MalformedLine {
+  private static double parseLoadHint(String text) throws MalformedLine {
     if (text == null) {
       return 0;
     }
     try {
       double value = Double.parseDouble(text);
-      require(value >= 0 && value <= HINT_MOST, "a hint out of range");
+      require(value >= 0 && value <= MAX_LOAD_HINT, "field h is out of range");
       return value;
     } catch (NumberFormatException fault) {
-      throw new MalformedLine("h is not a number");
+      throw new MalformedLine("field h is not a number");
     }
   }
 
-  private static void require(boolean holds, String fault) throws MalformedLine {
-    if (!holds) {
-      throw new MalformedLine(fault);
+  private static void require(boolean condition, String reason) throws MalformedLine {
+    if (!condition) {
+      throw new MalformedLine(reason);
     }
   }
 }
--- a/proxy/src/main/java/amberhoist/front/line/ProviderLine.java
+++ b/proxy/src/main/java/amberhoist/front/line/ProviderLine.java
@@ -1,23 +1,23 @@
 package amberhoist.front.line;
 
-/** What a line from a provider means to the proxy, which passes it on whatever it means. */
+/** The kinds of lines from a provider. */
 public enum ProviderLine {
-  /** The connection stands. */
+  /** The connection is established. */
   UP,
-  /** Served to its end. */
+  /** The connection has been served to its end. */
   BYE,
-  /** Sent away by a provider that drains. */
+  /** A draining provider asks the client to move. */
   MOVE,
-  /** An error. */
+  /** The connection has failed. */
   ERR,
-  /** Turned away unseen. */
+  /** The provider rejected the request without processing it. */
   BUSY,
-  /** The connection's load is now another. */
+  /** The load of the connection has changed. */
   LOAD,
-  /** Anything else: data of the connection, or no answer at all to its first line. */
+  /** Any other line: data of the connection or, as the first line, an invalid answer. */
   OTHER;
 
-  /** Tells a line, given without its CRLF, by its first word. */
+  /** Determines the kind of a line, given without its CRLF, from its first word. */
   public static ProviderLine of(String line) {
     int space = line.indexOf(' ');
     String verb = space < 0 ? line : line.substring(0, space);
@@ -32,7 +32,7 @@
     };
   }
 
-  /** The figure of a LOAD line, or NaN where there is none to go by. */
+  /** The value of a LOAD line, or NaN if it is missing, negative, infinite or not a number. */
   public static double load(String line) {
     try {
       double value = Double.parseDouble(line.substring("LOAD".length()).trim());
