--- a/proxy/src/main/java/amberhoist/front/line/LineClients.java
+++ b/proxy/src/main/java/amberhoist/front/line/LineClients.java
@@ -124,7 +124,7 @@
           relayLine(client, line);
         }
       }
-    } catch (IOException overlong) {
+    } catch (IOException lineTooLong) {
       if (client.role() == Role.NEW) {
         failMalformed(client, "first line exceeds the maximum length");
       } else {
--- a/proxy/src/main/java/amberhoist/front/line/LineProviders.java
+++ b/proxy/src/main/java/amberhoist/front/line/LineProviders.java
@@ -31,20 +31,20 @@
   private final Loop loop;
   private final Transport transport;
   private final Counters counters;
-  private final AddressBook addresses;
+  private final AddressBook registry;
   private final BiConsumer<String, Throwable> onConnectFailed;
   private final LineReports reports;
   private Core core;
 
   /** Creates a handler; {@code onConnectFailed} is called with a provider if no socket to it could be opened. */
-  public LineProviders(Loop loop, Transport transport, Counters counters, AddressBook addresses,
+  public LineProviders(Loop loop, Transport transport, Counters counters, AddressBook registry,
       BiConsumer<String, Throwable> onConnectFailed) {
     this.loop = loop;
     this.transport = transport;
     this.counters = counters;
-    this.addresses = addresses;
+    this.registry = registry;
     this.onConnectFailed = onConnectFailed;
-    reports = new LineReports(loop, transport, addresses);
+    reports = new LineReports(loop, transport, registry);
   }
 
   /** Sets the core to notify of events; must be called before the first connection. */
@@ -55,7 +55,7 @@
 
   @Override
   public long dial(long invocation, Connection client, String provider) {
-    InetSocketAddress address = addresses.of(provider);
+    InetSocketAddress address = registry.of(provider);
     if (address == null) {
       return SlotTable.NONE;
     }
@@ -103,7 +103,7 @@
           onAnswer(provider, kind, line);
         }
       }
-    } catch (IOException overlong) {
+    } catch (IOException lineTooLong) {
       transport.broken(provider);
     }
   }
--- a/proxy/src/main/java/amberhoist/front/line/LineReports.java
+++ b/proxy/src/main/java/amberhoist/front/line/LineReports.java
@@ -22,13 +22,13 @@
 
   private final Loop loop;
   private final Transport transport;
-  private final AddressBook addresses;
+  private final AddressBook registry;
   private Core core;
 
-  LineReports(Loop loop, Transport transport, AddressBook addresses) {
+  LineReports(Loop loop, Transport transport, AddressBook registry) {
     this.loop = loop;
     this.transport = transport;
-    this.addresses = addresses;
+    this.registry = registry;
   }
 
   void wire(Core newCore) {
@@ -37,7 +37,7 @@
 
   /** Requests a report from a provider; does nothing if its address is not known or no socket can be opened. */
   void ask(String provider) {
-    InetSocketAddress address = addresses.of(provider);
+    InetSocketAddress address = registry.of(provider);
     if (address == null) {
       return;
     }
@@ -62,7 +62,7 @@
     byte[] line;
     try {
       line = connection.line(Opening.LONGEST);
-    } catch (IOException overlong) {
+    } catch (IOException lineTooLong) {
       transport.drop(connection);
       return;
     }
--- a/proxy/src/main/java/amberhoist/net/Connection.java
+++ b/proxy/src/main/java/amberhoist/net/Connection.java
@@ -74,8 +74,8 @@
   }
 
   /** Sets the id of the invocation that this connection belongs to. */
-  public void invocation(long newInvocation) {
-    invocation = newInvocation;
+  public void invocation(long newInvocationId) {
+    invocation = newInvocationId;
   }
 
   /** The id of the connection that lines are relayed to, or {@link SlotTable#NONE}. */
@@ -158,7 +158,7 @@
     try {
       return String.valueOf(channel.getRemoteAddress());
     } catch (IOException fault) {
-      return "gone";
+      return "disconnected";
     }
   }
 
--- a/proxy/src/main/java/amberhoist/net/DirectoryWatch.java
+++ b/proxy/src/main/java/amberhoist/net/DirectoryWatch.java
@@ -54,7 +54,7 @@
 
   private final Loop loop;
   private final Core core;
-  private final AddressBook addresses;
+  private final AddressBook registry;
   private final Counters counters;
   private InetSocketAddress address;
   private final Random random;
@@ -63,7 +63,7 @@
   private long index;
   private final Faults listener;
   private WatchTiming timing;
-  private long pause;
+  private long pauseMicros;
   private Timer timer;
   private boolean closed;
 
@@ -74,14 +74,14 @@
   /**
    * Creates a watch on the directory at the given address, from the given version of the list on.
    */
-  public DirectoryWatch(Loop loop, Core core, AddressBook addresses, Counters counters, WatchTiming timing,
+  public DirectoryWatch(Loop loop, Core core, AddressBook registry, Counters counters, WatchTiming timing,
       InetSocketAddress address, long index, long seed, Faults listener) {
     this.loop = loop;
     this.core = core;
-    this.addresses = addresses;
+    this.registry = registry;
     this.timing = timing;
     this.listener = listener;
-    pause = timing.pause();
+    pauseMicros = timing.pause();
     this.counters = counters;
     this.address = address;
     this.index = index;
@@ -133,7 +133,7 @@
     }
     address = to;
     index = 0;
-    pause = timing.pause(); // the back-off caused by the old address must not delay the new one
+    pauseMicros = timing.pause(); // the back-off caused by the old address must not delay the new one
     if (timer != null) {
       timer.cancel();
       timer = null;
@@ -202,7 +202,7 @@
 
   private void onLine(byte[] line) throws IOException {
     if (line.length == 0) {
-      pause = timing.pause();
+      pauseMicros = timing.pause();
       return;
     }
     News update = News.parse(line, loop.clock());
@@ -210,14 +210,14 @@
       index = 0; // the next watch requests the whole list, so that old changes undo no newer ones
       throw new IOException("index is lower than that of the previous update");
     }
-    pause = timing.pause();
+    pauseMicros = timing.pause();
     counters.add(Count.DIRECTORY_NEWS);
     index = update.index();
     if (!update.unread().isEmpty()) {
       counters.add(Count.DIRECTORY_UNREAD);
       listener.unread(update.unread());
     }
-    core.directory(loop.now(), update.whole() ? ListKind.FULL : ListKind.CHANGES, addresses.update(update));
+    core.directory(loop.now(), update.whole() ? ListKind.FULL : ListKind.CHANGES, registry.update(update));
   }
 
   private void onBroken(long watchId, String reason) {
@@ -243,13 +243,13 @@
   private void scheduleNext(String reason) {
     currentId = SlotTable.NONE;
     counters.add(Count.DIRECTORY_FAILURES);
-    long delay = pause + (long) (random.nextDouble() * pause);
-    pause = Math.min(2 * pause, timing.pauseMost());
-    listener.failed(reason, delay / 1000);
+    long delayMicros = pauseMicros + (long) (random.nextDouble() * pauseMicros);
+    pauseMicros = Math.min(2 * pauseMicros, timing.pauseMost());
+    listener.failed(reason, delayMicros / 1000);
     if (timer != null) {
       timer.cancel();
     }
-    timer = loop.wheel().arm(loop.now() + delay, now -> {
+    timer = loop.wheel().arm(loop.now() + delayMicros, now -> {
       timer = null;
       start();
     });
--- a/proxy/src/main/java/amberhoist/net/Loop.java
+++ b/proxy/src/main/java/amberhoist/net/Loop.java
@@ -20,7 +20,8 @@
   /** Tick of the timer wheel in microseconds: well below the 50 ms by which a socket timeout may be late. */
   public static final long TICK = 4_000;
 
-  private static final long STALL_MICROS = 5 * TICK; // below 0.1 s: none may start so late after its client left
+  /** A tick later than this indicates a stall; below 0.1 s, after which nothing may start for a disconnected client. */
+  private static final long STALL_MICROS = 5 * TICK;
 
   private final Clock clock = new Clock();
   private final Wheel wheel = new Wheel(TICK, clock.now());
@@ -44,7 +45,7 @@
   public Loop(Consumer<Throwable> faultHandler, LongConsumer lagListener) throws IOException {
     this.faultHandler = faultHandler;
     this.lagListener = lagListener;
-    executor = new ScheduledThreadPoolExecutor(1, task -> new Thread(null, task, "loop", 1 << 18));
+    executor = new ScheduledThreadPoolExecutor(1, task -> new Thread(null, task, "loop", 1 << 18)); // 256 KiB of stack
     executor.setRemoveOnCancelPolicy(true);
     group = AsynchronousChannelGroup.withThreadPool(executor);
     executor.scheduleWithFixedDelay(() -> run(this::tick), TICK, TICK, TimeUnit.MICROSECONDS);
@@ -56,9 +57,9 @@
    */
   private void tick() {
     long now = clock.now();
-    long delay = Math.max(0, now - lastTick - TICK);
-    lagListener.accept(delay);
-    stalled = delay > STALL_MICROS && !stalled;
+    long delayMicros = Math.max(0, now - lastTick - TICK);
+    lagListener.accept(delayMicros);
+    stalled = delayMicros > STALL_MICROS && !stalled;
     if (!stalled) {
       wheel.advance(now);
     }
