--- a/proxy/src/main/java/amberhoist/log/BoundedOutput.java
+++ b/proxy/src/main/java/amberhoist/log/BoundedOutput.java
@@ -6,36 +6,40 @@
 import java.util.function.LongConsumer;
 
 /**
- * Writes on a thread of its own what it is given, and holds only so many bytes that wait. Guards against a reader
- * of standard error that stops reading: a pipe then blocks whoever writes to it, and that must not be the loop.
- * What does not fit is dropped whole and counted, and told once there is room again.
+ * An output stream that queues a bounded number of bytes and writes them on its own thread. Otherwise a reader of
+ * standard error that stops reading would block the event loop on a full pipe. A write that does not fit into the queue
+ * is dropped as a whole and counted; the number of drops is reported once there is room again.
  */
 public final class BoundedOutput extends OutputStream {
   private final OutputStream target;
-  private final ArrayDeque<byte[]> waiting = new ArrayDeque<>();
-  private final LongConsumer tell;
-  private int most;
-  private int bytes;
+  private final ArrayDeque<byte[]> queue = new ArrayDeque<>();
+  private final LongConsumer dropListener;
+  private int maxQueuedBytes;
+  private int queuedBytes;
   private boolean writing;
   private long dropped;
-  private long untold;
+  private long unreportedDrops;
 
-  /** An output to this target; {@code tell} is run on the writing thread with the number of writes dropped. */
-  public BoundedOutput(OutputStream target, int most, LongConsumer tell) {
+  /**
+   * Creates an output to this target.
+   *
+   * @param dropListener called on the writing thread with the number of writes dropped since the last call
+   */
+  public BoundedOutput(OutputStream target, int maxQueuedBytes, LongConsumer dropListener) {
     this.target = target;
-    this.most = most;
-    this.tell = tell;
-    Thread writer = new Thread(null, this::drain, "log", 1 << 18);
+    this.maxQueuedBytes = maxQueuedBytes;
+    this.dropListener = dropListener;
+    Thread writer = new Thread(null, this::writeLoop, "log", 1 << 18);
     writer.setDaemon(true);
     writer.start();
   }
 
-  /** Holds so many bytes at most from now on. */
-  public synchronized void limit(int bytesMost) {
-    most = bytesMost;
+  /** Sets the maximum number of queued bytes. */
+  public synchronized void limit(int maxBytes) {
+    maxQueuedBytes = maxBytes;
   }
 
-  /** How many writes have been dropped so far. */
+  /** The number of writes dropped so far. */
   public synchronized long dropped() {
     return dropped;
   }
@@ -47,65 +51,65 @@
 
   @Override
   public synchronized void write(byte[] from, int offset, int length) {
-    if (bytes + length > most) {
+    if (queuedBytes + length > maxQueuedBytes) {
       dropped++;
-      untold++;
+      unreportedDrops++;
       return;
     }
     byte[] copy = new byte[length];
     System.arraycopy(from, offset, copy, 0, length);
-    waiting.add(copy);
-    bytes += length;
+    queue.add(copy);
+    queuedBytes += length;
     notifyAll();
   }
 
-  private synchronized byte[] next() throws InterruptedException {
-    while (waiting.isEmpty()) {
+  private synchronized byte[] takeChunk() throws InterruptedException {
+    while (queue.isEmpty()) {
       writing = false;
       notifyAll();
       wait();
     }
     writing = true;
-    byte[] chunk = waiting.remove();
-    bytes -= chunk.length;
+    byte[] chunk = queue.remove();
+    queuedBytes -= chunk.length;
     return chunk;
   }
 
-  private synchronized long takeUntold() {
-    long count = bytes <= most / 2 ? untold : 0; // only once there is room to tell it
-    untold -= count;
+  private synchronized long takeUnreportedDrops() {
+    long count = queuedBytes <= maxQueuedBytes / 2 ? unreportedDrops : 0; // wait until there is room for the report
+    unreportedDrops -= count;
     return count;
   }
 
-  private void drain() {
+  private void writeLoop() {
     try {
       while (true) {
-        byte[] chunk = next();
+        byte[] chunk = takeChunk();
         try {
           target.write(chunk);
           target.flush();
-        } catch (IOException closed) {
-          // nobody can be told that nobody listens
+        } catch (IOException ignored) {
+          // there is nowhere left to report it
         }
-        long count = takeUntold();
+        long count = takeUnreportedDrops();
         if (count > 0) {
-          tell.accept(count);
+          dropListener.accept(count);
         }
       }
-    } catch (InterruptedException ended) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Waits until all is written, for so many milliseconds at most; for the end of the process. */
-  public synchronized void await(long millis) {
-    long end = System.nanoTime() + millis * 1_000_000;
+  /** Waits until the queue is written or the timeout expires; meant for the end of the process. */
+  public synchronized void await(long timeoutMillis) {
+    long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000;
     try {
-      for (long left = millis; (!waiting.isEmpty() || writing) && left > 0;
-          left = (end - System.nanoTime()) / 1_000_000) {
-        wait(left);
+      for (long remainingMillis = timeoutMillis; (!queue.isEmpty() || writing) && remainingMillis > 0;
+          remainingMillis = (deadlineNanos - System.nanoTime()) / 1_000_000) {
+        wait(remainingMillis);
       }
-    } catch (InterruptedException ended) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     }
   }
--- a/proxy/src/main/java/amberhoist/log/EventLog.java
+++ b/proxy/src/main/java/amberhoist/log/EventLog.java
@@ -13,11 +13,12 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Tells events through SLF4J: under their names, with fields, each kind no faster than its rate. It never blocks on
- * a slow reader once {@link #redirect} has been called. It may be used from any thread.
+ * Logs events through SLF4J, with their ids and fields, and limits the rate of each kind of event that clients or
+ * providers can cause. Thread-safe. Once {@link #redirect} has been called, it never blocks on
+ * a slow reader.
  */
 public final class EventLog {
-  private static final int TEXT_MOST = 2000; // characters of one field or sentence: a client may have sent it
+  private static final int MAX_TEXT_CHARS = 2000; // of a field or message, which may come from a client
   private static BoundedOutput output;
   private static boolean json;
 
@@ -27,21 +28,21 @@
   private LogSettings settings;
   private long suppressed;
 
-  /** A log for the instance of this name; {@code nanos} is a clock of nanoseconds, for the rates alone. */
+  /** Creates a log for an instance; {@code nanos} is the clock in nanoseconds that the rate limits use. */
   public EventLog(String instance, LogSettings settings, LongSupplier nanos) {
     this.instance = instance;
     this.settings = settings;
     this.nanos = nanos;
   }
 
-  /** A log of the process, with nothing held back for its rate but what these settings say. */
+  /** Creates a log for an instance that uses the system's clock. */
   public EventLog(String instance, LogSettings settings) {
     this(instance, settings, System::nanoTime);
   }
 
   /**
-   * Chooses the backend for this process, before anything is told: {@code slf4j-simple} for text, which is the
-   * one that fits the smallest installation, Logback for JSON. A later choice changes nothing.
+   * Selects the SLF4J backend of this process, before anything is logged: {@code slf4j-simple} for text, which fits the
+   * smallest installation, Logback for JSON. Later calls have no effect on the backend.
    */
   public static synchronized void choose(LogSettings.Format format) {
     json = format == LogSettings.Format.JSON;
@@ -49,23 +50,28 @@
     System.setProperty("slf4j.provider", json ? "ch.qos.logback.classic.spi.LogbackServiceProvider"
         : "org.slf4j.simple.SimpleServiceProvider");
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
-    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "trace"); // decided here instead
-    LoggerFactory.getILoggerFactory(); // before threads race for it
+    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "trace"); // this class filters by level
+    LoggerFactory.getILoggerFactory(); // initialize before several threads do
   }
 
-  /** Has standard error written by a thread of its own from now on, with a bounded queue; for a process. */
-  public static synchronized void redirect(int queue, EventLog teller) {
-    output = new BoundedOutput(new FileOutputStream(FileDescriptor.err), queue,
-        lines -> teller.tell(Event.LOG_DROPPED, "nobody reads standard error fast enough", "lines", lines));
+  /**
+   * Redirects standard error of this process to a bounded queue that a separate thread writes.
+   *
+   * @param dropLog where dropped lines are reported
+   */
+  public static synchronized void redirect(int maxQueuedBytes, EventLog dropLog) {
+    output = new BoundedOutput(new FileOutputStream(FileDescriptor.err), maxQueuedBytes,
+        lines -> dropLog.tell(Event.LOG_DROPPED, "lines were dropped, standard error is read too slowly", "lines",
+            lines));
     System.setErr(new PrintStream(output, false, StandardCharsets.UTF_8));
   }
 
-  /** How many lines were dropped because nobody read them fast enough. */
+  /** The number of lines dropped because standard error was read too slowly. */
   public static synchronized long dropped() {
     return output == null ? 0 : output.dropped();
   }
 
-  /** Waits a moment for what is still to be written; for the end of the process. */
+  /** Waits up to 200 ms until queued lines are written; meant for the end of the process. */
   public static void flush() {
     BoundedOutput out;
     synchronized (EventLog.class) {
@@ -76,44 +82,44 @@
     }
   }
 
-  /** Goes by other settings from now on; the format stays. */
-  public synchronized void configure(LogSettings others) {
-    settings = others;
+  /** Applies new settings, except for the format. */
+  public synchronized void configure(LogSettings newSettings) {
+    settings = newSettings;
     synchronized (EventLog.class) {
       if (output != null) {
-        output.limit(others.queue());
+        output.limit(newSettings.queue());
       }
     }
   }
 
-  /** Tells an event in a sentence, with fields given as names and values in turn. */
-  public void tell(Event event, String sentence, Object... fields) {
-    long left = admitted(event);
-    if (left >= 0) {
-      LoggingEventBuilder line = line(event, fields);
-      if (left > 0) {
-        line = line.addKeyValue("suppressed", left);
+  /** Logs an event with a message; {@code fields} holds names and values alternately. */
+  public void tell(Event event, String message, Object... fields) {
+    long suppressedBefore = admit(event);
+    if (suppressedBefore >= 0) {
+      LoggingEventBuilder line = startLine(event, fields);
+      if (suppressedBefore > 0) {
+        line = line.addKeyValue("suppressed", suppressedBefore);
       }
-      line.log(bounded(sentence));
+      line.log(sanitize(message));
     }
   }
 
-  /** Tells of a fault, with its stack. */
-  public void fault(Event event, String sentence, Throwable fault) {
-    if (admitted(event) >= 0) {
-      line(event, "why", fault.toString()).setCause(fault).log(bounded(sentence));
+  /** Logs an exception with its stack trace. */
+  public void fault(Event event, String message, Throwable fault) {
+    if (admit(event) >= 0) {
+      startLine(event, "why", fault.toString()).setCause(fault).log(sanitize(message));
     }
   }
 
-  /** How many lines of this event were left out since the last one told, or -1 when it is not to be told. */
-  private synchronized long admitted(Event event) {
+  /** The number of lines of this event suppressed since the last one logged, or -1 if the event is not to be logged. */
+  private synchronized long admit(Event event) {
     if (event.level().toInt() < settings.level().toInt()) {
       return -1;
     }
     if (!event.limited()) {
       return 0;
     }
-    RateLimit limit = limits.computeIfAbsent(event, any -> new RateLimit());
+    RateLimit limit = limits.computeIfAbsent(event, key -> new RateLimit());
     if (!limit.pass(nanos.getAsLong(), settings.rate(), settings.burst())) {
       suppressed++;
       return -1;
@@ -121,12 +127,12 @@
     return limit.takeSuppressed();
   }
 
-  /** How many lines were left out so far because their events came too fast. */
+  /** The number of lines suppressed by rate limits so far. */
   public synchronized long suppressed() {
     return suppressed;
   }
 
-  /** Tells what was left out and has not been told yet; to be called now and then. */
+  /** Logs the suppressed lines that have not been reported yet; to be called periodically. */
   public void tellSuppressed() {
     for (Event event : Event.values()) {
       long count;
@@ -135,12 +141,12 @@
         count = limit == null ? 0 : limit.takeSuppressed();
       }
       if (count > 0) {
-        tell(Event.LOG_SUPPRESSED, "lines were left out", "of", event.id(), "lines", count);
+        tell(Event.LOG_SUPPRESSED, "lines were suppressed", "of", event.id(), "lines", count);
       }
     }
   }
 
-  private LoggingEventBuilder line(Event event, Object... fields) {
+  private LoggingEventBuilder startLine(Event event, Object... fields) {
     Logger logger = LoggerFactory.getLogger(event.logger());
     LoggingEventBuilder line = logger.makeLoggingEventBuilder(event.level());
     if (!json) {
@@ -149,21 +155,21 @@
     line = line.addKeyValue("event", event.id()).addKeyValue("instance", instance);
     for (int i = 0; i + 1 < fields.length; i += 2) {
       Object value = fields[i + 1];
-      line = line.addKeyValue((String) fields[i], value instanceof Number ? value : bounded(String.valueOf(value)));
+      line = line.addKeyValue((String) fields[i], value instanceof Number ? value : sanitize(String.valueOf(value)));
     }
     return line;
   }
 
-  /** One line of bounded length, whatever a client may have put into it. */
-  private static String bounded(String text) {
-    String cut = text.length() <= TEXT_MOST ? text : text.substring(0, TEXT_MOST) + "...";
-    StringBuilder plain = null;
+  /** Cuts long text and replaces control characters: clients can put anything into it. */
+  private static String sanitize(String text) {
+    String cut = text.length() <= MAX_TEXT_CHARS ? text : text.substring(0, MAX_TEXT_CHARS) + "...";
+    StringBuilder sanitized = null;
     for (int i = 0; i < cut.length(); i++) {
       if (Character.isISOControl(cut.charAt(i))) {
-        plain = plain == null ? new StringBuilder(cut) : plain;
-        plain.setCharAt(i, ' ');
+        sanitized = sanitized == null ? new StringBuilder(cut) : sanitized;
+        sanitized.setCharAt(i, ' ');
       }
     }
-    return plain == null ? cut : plain.toString();
+    return sanitized == null ? cut : sanitized.toString();
   }
 }
--- a/proxy/src/main/java/amberhoist/log/JsonLines.java
+++ b/proxy/src/main/java/amberhoist/log/JsonLines.java
@@ -16,13 +16,13 @@
 import org.slf4j.event.KeyValuePair;
 
 /**
- * Sets Logback up to write one JSON object a line to standard error, fields side by side. Only the JSON format
- * loads Logback: it takes some megabytes more than the text format's backend (see docs/design/logging.md).
+ * Configures Logback to write each event to standard error as one line with a flat JSON object. Only the JSON format
+ * loads Logback, which takes some megabytes more than the text format's backend (see docs/design/logging.md).
  */
 public final class JsonLines extends ContextAwareBase implements Configurator {
   private static final JsonFactory JSON = new JsonFactory();
 
-  private static final class Lines extends AppenderBase<ILoggingEvent> {
+  private static final class StandardErrorAppender extends AppenderBase<ILoggingEvent> {
     @Override
     protected void append(ILoggingEvent event) {
       System.err.print(line(event));
@@ -31,11 +31,11 @@
 
   @Override
   public ExecutionStatus configure(LoggerContext context) {
-    Lines lines = new Lines();
+    StandardErrorAppender lines = new StandardErrorAppender();
     lines.setContext(context);
     lines.start();
     Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
-    root.setLevel(Level.TRACE); // what is told at all is decided before
+    root.setLevel(Level.TRACE); // EventLog filters by level
     root.addAppender(lines);
     return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
   }
@@ -58,16 +58,16 @@
       }
       out.writeStringField("message", event.getFormattedMessage());
       if (event.getThrowableProxy() != null) {
-        fault(out, event.getThrowableProxy());
+        writeThrowable(out, event.getThrowableProxy());
       }
       out.writeEndObject();
     } catch (IOException impossible) {
-      throw new IllegalStateException(impossible); // a StringWriter takes everything
+      throw new IllegalStateException(impossible); // a StringWriter does not throw
     }
     return text + "\n";
   }
 
-  private static void fault(JsonGenerator out, IThrowableProxy fault) throws IOException {
+  private static void writeThrowable(JsonGenerator out, IThrowableProxy fault) throws IOException {
     out.writeStringField("fault", fault.getClassName());
     out.writeArrayFieldStart("stack");
     for (var frame : fault.getStackTraceElementProxyArray()) {
--- a/proxy/src/main/java/amberhoist/log/LogSettings.java
+++ b/proxy/src/main/java/amberhoist/log/LogSettings.java
@@ -3,23 +3,23 @@
 import org.slf4j.event.Level;
 
 /**
- * How the log is written. The operator's file may set it.
+ * The settings of the log, from the operator's file.
  *
- * @param format lines for people, or JSON lines
- * @param level what is less urgent is not told
- * @param rate lines a second for each event that clients or providers can bring about
- * @param burst so many of them at once
- * @param queue bytes that wait for a slow reader of standard error; what is over is dropped and counted
+ * @param format text lines or JSON lines
+ * @param level the minimum level that is logged
+ * @param rate lines per second for each rate-limited event
+ * @param burst lines of a rate-limited event that may come at once
+ * @param queue bytes queued for a slow reader of standard error; lines beyond that are dropped and counted
  */
 public record LogSettings(Format format, Level level, int rate, int burst, int queue) {
-  /** The two forms of a line. */
+  /** The format of a line. */
   public enum Format {
-    /** For people: fields, then a sentence. */
+    /** Plain text: fields, then the message. */
     TEXT,
-    /** One JSON object a line. */
+    /** One JSON object per line. */
     JSON
   }
 
-  /** What holds where nothing else is set. */
+  /** The default settings. */
   public static final LogSettings DEFAULT = new LogSettings(Format.TEXT, Level.INFO, 2, 20, 64 << 10);
 }
--- a/proxy/src/main/java/amberhoist/log/RateLimit.java
+++ b/proxy/src/main/java/amberhoist/log/RateLimit.java
@@ -1,19 +1,19 @@
 package amberhoist.log;
 
-/** A token bucket that counts what it holds back. It reads no clock; {@code now} is in nanoseconds. */
+/** A token bucket that counts the suppressed events. The caller passes the time; it reads no clock. */
 final class RateLimit {
-  private static final double SECOND = 1e9;
+  private static final double NANOS_PER_SECOND = 1e9;
 
   private double tokens;
-  private long last;
+  private long lastNanos;
   private boolean started;
   private long suppressed;
 
-  /** Whether one more may pass now; if not, it is counted. */
-  boolean pass(long now, int rate, int burst) {
-    tokens = started ? Math.min(burst, tokens + Math.max(0, now - last) / SECOND * rate) : burst;
+  /** Takes a token if there is one; otherwise counts a suppressed event and returns false. Rate is per second. */
+  boolean pass(long nowNanos, int rate, int burst) {
+    tokens = started ? Math.min(burst, tokens + Math.max(0, nowNanos - lastNanos) / NANOS_PER_SECOND * rate) : burst;
     started = true;
-    last = Math.max(last, now);
+    lastNanos = Math.max(lastNanos, nowNanos);
     if (tokens < 1) {
       suppressed++;
       return false;
@@ -22,7 +22,7 @@
     return true;
   }
 
-  /** How many were held back since this was last asked. */
+  /** Returns the number of events suppressed since the last call, and resets it. */
   long takeSuppressed() {
     long count = suppressed;
     suppressed = 0;
