--- a/proxy/src/main/java/amberhoist/admin/AdminClient.java
+++ b/proxy/src/main/java/amberhoist/admin/AdminClient.java
@@ -7,32 +7,32 @@
 import java.nio.channels.SocketChannel;
 import java.nio.charset.StandardCharsets;
 
-/** Asks an instance's admin socket one question. */
+/** Sends requests to the admin socket of an instance. */
 public final class AdminClient {
   private AdminClient() {}
 
   /**
-   * The body of the answer.
+   * Sends a GET request and returns the body of the response.
    *
-   * @throws IOException when nobody answers there, or not with 200
+   * @throws IOException if there is no response, or its status is not 200
    */
   public static String ask(SocketAddress address, String path) throws IOException {
     try (SocketChannel channel = SocketChannel.open(address)) {
-      ByteBuffer question = ByteBuffer.wrap(
+      ByteBuffer request = ByteBuffer.wrap(
           ("GET " + path + " HTTP/1.1\r\nHost: admin\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
-      while (question.hasRemaining()) {
-        channel.write(question);
+      while (request.hasRemaining()) {
+        channel.write(request);
       }
-      ByteArrayOutputStream answer = new ByteArrayOutputStream();
+      ByteArrayOutputStream response = new ByteArrayOutputStream();
       ByteBuffer buffer = ByteBuffer.allocate(8192);
       while (channel.read(buffer) >= 0) {
-        answer.write(buffer.array(), 0, buffer.position());
+        response.write(buffer.array(), 0, buffer.position());
         buffer.clear();
       }
-      String text = answer.toString(StandardCharsets.UTF_8);
+      String text = response.toString(StandardCharsets.UTF_8);
       int end = text.indexOf("\r\n\r\n");
       if (end < 0 || !text.startsWith("HTTP/1.1 200 ")) {
-        throw new IOException("unexpected answer: " + text.lines().findFirst().orElse("none"));
+        throw new IOException("unexpected response: " + text.lines().findFirst().orElse("none"));
       }
       return text.substring(end + 4);
     }
--- a/proxy/src/main/java/amberhoist/admin/AdminSocket.java
+++ b/proxy/src/main/java/amberhoist/admin/AdminSocket.java
@@ -22,24 +22,24 @@
 import org.HdrHistogram.AbstractHistogram;
 
 /**
- * Answers questions on a loopback address or a Unix-domain socket, one after the other on a thread of its own:
- * {@code GET /status} (JSON), {@code GET /metrics} (Prometheus text) and {@code GET /config} (effective keys), in as
- * much of HTTP/1.1 (RFC 9112) as that takes: one request a connection. Whoever dawdles is cut off.
+ * Serves {@code GET /status} (JSON), {@code GET /metrics} (Prometheus text format) and {@code GET /config} (effective
+ * keys) on a loopback address or a Unix-domain socket. It handles one connection after the other on its own thread, and
+ * implements the subset of HTTP/1.1 (RFC 9112) that is needed for one request per connection, with timeouts.
  */
 public final class AdminSocket implements AutoCloseable {
-  /** What the questions are answered from; it may be asked from any thread. */
+  /** The data that is served. Implementations are thread-safe. */
   public interface Source {
-    /** The instance as it is now. */
+    /** A snapshot of the instance. */
     Status status();
 
-    /** Copies of the latencies. */
+    /** Copies of the latency histograms. */
     Map<Span, ? extends AbstractHistogram> latencies();
 
-    /** The effective keys as text. */
+    /** The effective configuration keys as text. */
     String config();
   }
 
-  private static final int HEAD_MOST = 8192;
+  private static final int MAX_HEAD_BYTES = 8192;
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final ServerSocketChannel server;
@@ -51,9 +51,9 @@
       task -> daemon(task, "admin-watchdog"));
 
   /**
-   * Listens, and answers from now on.
+   * Starts to listen and to serve requests.
    *
-   * @throws IOException when that address cannot be listened on, such as a socket that another instance answers on
+   * @throws IOException if it cannot listen on the address, for example because another process does
    */
   public AdminSocket(SocketAddress address, Duration timeout, Source source, EventLog log) throws IOException {
     this.timeout = timeout;
@@ -64,16 +64,16 @@
     server.bind(address, 16);
     this.address = server.getLocalAddress();
     daemon(this::serve, "admin").start();
-    log.tell(Event.ADMIN_LISTENS, "the admin socket answers", "address", this.address);
+    log.tell(Event.ADMIN_LISTENS, "the admin socket listens", "address", this.address);
   }
 
-  /** A file left by a process that was killed is removed; one that somebody answers on is not. */
+  /** Deletes a socket file that a killed process left behind, but not one that another process listens on. */
   private static void removeStale(SocketAddress address) throws IOException {
     if (address instanceof UnixDomainSocketAddress unix && Files.exists(unix.getPath())) {
       try {
         SocketChannel.open(unix).close();
-        throw new IOException("another process answers on " + unix);
-      } catch (java.net.ConnectException nobody) {
+        throw new IOException("another process listens on " + unix);
+      } catch (java.net.ConnectException refused) {
         Files.delete(unix.getPath());
       }
     }
@@ -85,7 +85,7 @@
     return thread;
   }
 
-  /** The address that is listened on. */
+  /** The address that the admin socket listens on. */
   public SocketAddress address() {
     return address;
   }
@@ -93,72 +93,75 @@
   private void serve() {
     while (server.isOpen()) {
       try (SocketChannel client = server.accept()) {
-        String question = watched(client, () -> head(client));
-        Reply reply = reply(question);
-        watched(client, () -> send(client, reply));
+        String requestLine = withTimeout(client, () -> readRequestLine(client));
+        Response response = respond(requestLine);
+        withTimeout(client, () -> send(client, response));
       } catch (IOException | RuntimeException fault) {
         if (server.isOpen()) {
-          log.tell(Event.ADMIN_FAILED, "a question could not be answered", "why", fault);
+          log.tell(Event.ADMIN_FAILED, "cannot answer a request", "why", fault);
         }
       }
     }
   }
 
-  /** A part of the talk in which all waiting is for the client. */
-  private interface Part<T> {
+  /** A part of an exchange that waits for nothing but the client. */
+  private interface IoStep<T> {
     T run() throws IOException;
   }
 
-  /** Runs a part, and cuts the client off when it takes longer than the timeout. What an answer takes to be made up is
-   * not the client's fault: it is in no part. */
-  private <T> T watched(SocketChannel client, Part<T> part) throws IOException {
-    ScheduledFuture<?> cut = watchdog.schedule(() -> abandon(client), timeout.toMillis(), TimeUnit.MILLISECONDS);
+  /**
+   * Runs a step and closes the connection if it takes longer than the timeout. Composing a response is not part of any
+   * step, since the client is not to blame for the time that it takes.
+   */
+  private <T> T withTimeout(SocketChannel client, IoStep<T> step) throws IOException {
+    ScheduledFuture<?> timeoutTask =
+        watchdog.schedule(() -> closeQuietly(client), timeout.toMillis(), TimeUnit.MILLISECONDS);
     try {
-      return part.run();
+      return step.run();
     } finally {
-      cut.cancel(false);
+      timeoutTask.cancel(false);
     }
   }
 
-  private static void abandon(SocketChannel client) {
+  private static void closeQuietly(SocketChannel client) {
     try {
       client.close();
-    } catch (IOException gone) {
-      // it is closed either way
+    } catch (IOException ignored) {
+      // closed all the same
     }
   }
 
-  private record Reply(String status, String type, byte[] body) {
+  private record Response(String status, String type, byte[] body) {
   }
 
-  private Reply reply(String question) throws IOException {
-    String[] words = question.split(" ", 3);
+  private Response respond(String requestLine) throws IOException {
+    String[] words = requestLine.split(" ", 3);
     if (words.length < 2 || !words[0].equals("GET")) {
-      return new Reply("405 Method Not Allowed", "text/plain", bytes("GET /status, /metrics or /config\n"));
+      return new Response("405 Method Not Allowed", "text/plain", bytes("use GET /status, /metrics or /config\n"));
     }
     return switch (words[1]) {
-      case "/status" -> new Reply("200 OK", "application/json",
+      case "/status" -> new Response("200 OK", "application/json",
           JSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(source.status()));
-      case "/metrics" -> new Reply("200 OK", "text/plain; version=0.0.4; charset=utf-8",
+      case "/metrics" -> new Response("200 OK", "text/plain; version=0.0.4; charset=utf-8",
           Exposition.write(source.status(), source.latencies()));
-      case "/config" -> new Reply("200 OK", "text/plain; charset=utf-8", bytes(source.config()));
-      default -> new Reply("404 Not Found", "text/plain", bytes("ask for /status, /metrics or /config\n"));
+      case "/config" -> new Response("200 OK", "text/plain; charset=utf-8", bytes(source.config()));
+      default -> new Response("404 Not Found", "text/plain", bytes("not found: use /status, /metrics or /config\n"));
     };
   }
 
-  /** The request line, once the whole head has come. */
-  private static String head(SocketChannel client) throws IOException {
-    ByteBuffer buffer = ByteBuffer.allocate(HEAD_MOST);
+  /** Reads the whole head and returns its request line. */
+  private static String readRequestLine(SocketChannel client) throws IOException {
+    ByteBuffer buffer = ByteBuffer.allocate(MAX_HEAD_BYTES);
     while (true) {
       if (client.read(buffer) < 0) {
-        throw new IOException("a question without end");
+        throw new IOException("the request ended early");
       }
       String text = new String(buffer.array(), 0, buffer.position(), StandardCharsets.ISO_8859_1);
       if (text.contains("\r\n\r\n") || text.contains("\n\n")) {
         return text.lines().findFirst().orElse("");
       }
       if (!buffer.hasRemaining()) {
-        throw new IOException("a question longer than " + HEAD_MOST + " bytes");
+        throw new IOException("the request head is longer than " + MAX_HEAD_BYTES + " bytes");
       }
     }
   }
@@ -167,10 +170,10 @@
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  private static Void send(SocketChannel client, Reply reply) throws IOException {
-    ByteBuffer head = ByteBuffer.wrap(bytes("HTTP/1.1 " + reply.status + "\r\nContent-Type: " + reply.type
-        + "\r\nContent-Length: " + reply.body.length + "\r\nConnection: close\r\n\r\n"));
-    ByteBuffer rest = ByteBuffer.wrap(reply.body);
+  private static Void send(SocketChannel client, Response response) throws IOException {
+    ByteBuffer head = ByteBuffer.wrap(bytes("HTTP/1.1 " + response.status + "\r\nContent-Type: " + response.type
+        + "\r\nContent-Length: " + response.body.length + "\r\nConnection: close\r\n\r\n"));
+    ByteBuffer rest = ByteBuffer.wrap(response.body);
     while (head.hasRemaining() || rest.hasRemaining()) {
       client.write(new ByteBuffer[] {head, rest});
     }
@@ -185,8 +188,8 @@
       if (address instanceof UnixDomainSocketAddress unix) {
         Files.deleteIfExists(unix.getPath());
       }
-    } catch (IOException gone) {
-      // nobody answers there any more
+    } catch (IOException ignored) {
+      // the socket is closed all the same
     }
   }
 }
--- a/proxy/src/main/java/amberhoist/admin/Exposition.java
+++ b/proxy/src/main/java/amberhoist/admin/Exposition.java
@@ -16,9 +16,9 @@
 import java.util.Map;
 import org.HdrHistogram.AbstractHistogram;
 
-/** The metrics of one moment in Prometheus' text format 0.0.4. It is made anew for each scrape and holds nothing. */
+/** Writes a snapshot of the metrics in the Prometheus text exposition format 0.0.4. Keeps no state between scrapes. */
 final class Exposition {
-  private static final double MICROS = 1e6;
+  private static final double MICROS_PER_SECOND = 1e6;
 
   private Exposition() {}
 
@@ -28,19 +28,20 @@
       String name = count.name().toLowerCase(Locale.ROOT);
       counter(registry, name, "see docs/operations/metrics.md", status.counters().getOrDefault(name, 0L));
     }
-    counter(registry, "log_suppressed_lines", "lines left out over an event's rate", status.log().suppressed());
-    counter(registry, "log_dropped_lines", "lines left out for want of a reader", status.log().dropped());
-    gauge(registry, "connections_held", "sockets held", status.connections());
-    gauge(registry, "invocations_held", "invocations held, called or joined", status.invocations());
-    gauge(registry, "stopping", "1 while the instance stops", status.state().equals("stopping") ? 1 : 0);
-    gauge(registry, "restart_needed_keys", "changed keys that wait for a restart", status.restartNeeded().size());
-    GaugeWithCallback.builder().name("amberhoist_standing").help("clients joined to a provider")
+    counter(registry, "log_suppressed_lines", "log lines suppressed by a rate limit", status.log().suppressed());
+    counter(registry, "log_dropped_lines", "log lines dropped for a slow reader", status.log().dropped());
+    gauge(registry, "connections_held", "open connections", status.connections());
+    gauge(registry, "invocations_held", "invocations pending, in an attempt or established", status.invocations());
+    gauge(registry, "stopping", "1 while the instance is stopping, else 0", status.state().equals("stopping") ? 1 : 0);
+    gauge(registry, "restart_needed_keys", "changed keys that need a restart", status.restartNeeded().size());
+    GaugeWithCallback.builder().name("amberhoist_standing").help("connections established with a provider")
         .labelNames("provider", "state").callback(out -> status.providers()
             .forEach(provider -> out.call(provider.standing(), provider.name(), provider.state())))
         .register(registry);
     spans.forEach((span, histogram) -> SummaryWithCallback.builder()
         .name("amberhoist_" + span.name().toLowerCase(Locale.ROOT)).unit(Unit.SECONDS).help(span.meaning())
-        .callback(out -> out.call(histogram.getTotalCount(), histogram.getMean() * histogram.getTotalCount() / MICROS,
+        .callback(out -> out.call(histogram.getTotalCount(),
+            histogram.getMean() * histogram.getTotalCount() / MICROS_PER_SECOND,
             Quantiles.of(quantile(histogram, 0.5), quantile(histogram, 0.9), quantile(histogram, 0.99),
                 quantile(histogram, 1)))).register(registry));
     ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -48,8 +49,8 @@
     return out.toByteArray();
   }
 
-  private static Quantile quantile(AbstractHistogram histogram, double part) {
-    return new Quantile(part, histogram.getValueAtPercentile(100 * part) / MICROS);
+  private static Quantile quantile(AbstractHistogram histogram, double fraction) {
+    return new Quantile(fraction, histogram.getValueAtPercentile(100 * fraction) / MICROS_PER_SECOND);
   }
 
   private static void counter(PrometheusRegistry registry, String name, String help, double value) {
--- a/proxy/src/main/java/amberhoist/mgmt/Answer.java
+++ b/proxy/src/main/java/amberhoist/mgmt/Answer.java
@@ -3,38 +3,40 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * What an operator is answered.
+ * A response of the management API.
  *
- * @param status the status code
- * @param reason the words behind it
- * @param allow the methods that the path knows, empty when that is not the point
- * @param body JSON
+ * @param status the HTTP status code
+ * @param reason the reason phrase
+ * @param allow the value of the {@code Allow} header, empty for none
+ * @param body the JSON body, without a line end
  */
 public record Answer(int status, String reason, String allow, String body) {
-  /** Yes, with this. */
+  /** A 200 response with this JSON body. */
   static Answer yes(String body) {
     return new Answer(200, "OK", "", body);
   }
 
-  /** No, with a plain reason. */
-  static Answer no(int status, String reason, String why) {
-    return new Answer(status, reason, "", "{\"error\":\"" + why.replaceAll("[^ -~]|[\"\\\\]", "?") + "\"}");
+  /** An error response; its body holds the message, with characters that JSON would have to escape replaced. */
+  static Answer no(int status, String reason, String message) {
+    return new Answer(status, reason, "",
+        "{\"error\":\"" + message.replaceAll("[^ -~]|[\"\\\\]", "?") + "\"}");
   }
 
-  /** The path is known, the method is not. */
+  /** A 405 response for a path that supports only the methods in {@code allow}. */
   static Answer notAllowed(String allow) {
-    return new Answer(405, "Method Not Allowed", allow, no(405, "", "this path takes " + allow).body());
+    return new Answer(405, "Method Not Allowed", allow,
+        no(405, "", "this path only supports " + allow).body());
   }
 
-  /** As it goes out; the connection is closed behind it. */
+  /** The encoded response. It announces that the connection will be closed. */
   byte[] bytes() {
-    byte[] content = (body + "\n").getBytes(StandardCharsets.UTF_8);
+    byte[] bodyBytes = (body + "\n").getBytes(StandardCharsets.UTF_8);
     String head = "HTTP/1.1 " + status + ' ' + reason + "\r\nContent-Type: application/json\r\nContent-Length: "
-        + content.length + (allow.isEmpty() ? "" : "\r\nAllow: " + allow) + "\r\nConnection: close\r\n\r\n";
-    byte[] start = head.getBytes(StandardCharsets.US_ASCII);
-    byte[] all = new byte[start.length + content.length];
-    System.arraycopy(start, 0, all, 0, start.length);
-    System.arraycopy(content, 0, all, start.length, content.length);
+        + bodyBytes.length + (allow.isEmpty() ? "" : "\r\nAllow: " + allow) + "\r\nConnection: close\r\n\r\n";
+    byte[] headBytes = head.getBytes(StandardCharsets.US_ASCII);
+    byte[] all = new byte[headBytes.length + bodyBytes.length];
+    System.arraycopy(headBytes, 0, all, 0, headBytes.length);
+    System.arraycopy(bodyBytes, 0, all, headBytes.length, bodyBytes.length);
     return all;
   }
 }
--- a/proxy/src/main/java/amberhoist/mgmt/Call.java
+++ b/proxy/src/main/java/amberhoist/mgmt/Call.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * One call of an operator, read whole.
+ * A request to the management API.
  *
- * @param method such as {@code GET}
- * @param path the path's segments, percent-decoded; the query is left out
+ * @param method the HTTP method, such as {@code GET}
+ * @param path the segments of the path, percent-decoded, without the query
  */
 public record Call(String method, List<String> path) {}
--- a/proxy/src/main/java/amberhoist/mgmt/CallParser.java
+++ b/proxy/src/main/java/amberhoist/mgmt/CallParser.java
@@ -7,11 +7,11 @@
 import java.util.List;
 
 /**
- * Reads the head of one HTTP/1.1 call (RFC 9112) in whatever pieces it comes. The headers have no bearing on the
- * answer, and a body is left to whoever reads on; both must still have the form of a call.
+ * An incremental parser for the head of one HTTP/1.1 request (RFC 9112). Headers are checked for their form and
+ * otherwise ignored; a body is left in the buffer for the caller.
  */
 public final class CallParser {
-  /** A longer head is refused. */
+  /** The maximum length of a head in bytes; a longer one gets status 431. */
   public static final int LONGEST = 8192;
 
   private final byte[] head = new byte[LONGEST];
@@ -22,88 +22,89 @@
   private Call call;
   private Answer fault;
 
-  /** Takes what has come, up to the end of the head; the rest is left in the buffer. */
+  /** Parses received bytes up to the end of the head; leaves the rest in the buffer. */
   public void take(ByteBuffer in) {
     while (in.hasRemaining() && !done()) {
       byte next = in.get();
       if (length == LONGEST) {
-        fault = Answer.no(431, "Request Header Fields Too Large", "the head is longer than " + LONGEST + " bytes");
+        fault = Answer.no(431, "Request Header Fields Too Large",
+            "the head is longer than " + LONGEST + " bytes");
         return;
       }
       head[length++] = next;
       if (next == '\n') {
-        line();
+        parseLine();
       }
     }
   }
 
-  /** The caller sends no more. */
+  /** The client has closed its side of the connection. */
   public void ended() {
     if (!done()) {
-      bad("the call is not whole");
+      badRequest("the request is incomplete");
     }
   }
 
-  /** Whether there is a call, or a reason for none. */
+  /** Whether a request has been parsed or found invalid. */
   public boolean done() {
     return call != null || fault != null;
   }
 
-  /** The call, or null. */
+  /** The request, or null if it is invalid or not yet complete. */
   public Call call() {
     return fault == null ? call : null;
   }
 
-  /** What to answer where it is no call, or null. */
+  /** The error response to an invalid request, else null. */
   public Answer fault() {
     return fault;
   }
 
-  private void line() {
+  private void parseLine() {
     int end = length - 1;
     end -= end > lineStart && head[end - 1] == '\r' ? 1 : 0;
     String line = new String(head, lineStart, end - lineStart, StandardCharsets.ISO_8859_1);
     lineStart = length;
     if (method == null) {
-      if (!line.isEmpty()) { // an empty line before a call is passed over (RFC 9112, 2.2)
-        start(line);
+      if (!line.isEmpty()) { // empty lines before the request line are ignored (RFC 9112, 2.2)
+        parseRequestLine(line);
       }
     } else if (line.isEmpty()) {
       call = new Call(method, path);
-    } else if (line.indexOf(':') < 1 || !token(line.substring(0, line.indexOf(':')))) {
-      bad("a header without a name");
+    } else if (line.indexOf(':') < 1 || !isToken(line.substring(0, line.indexOf(':')))) {
+      badRequest("invalid header name");
     }
   }
 
-  private void start(String line) {
+  private void parseRequestLine(String line) {
     String[] words = line.split(" ", -1);
-    if (words.length != 3 || !token(words[0]) || !words[2].matches("HTTP/1\\.[0-9]")) {
-      bad("not a call of HTTP/1.1");
+    if (words.length != 3 || !isToken(words[0]) || !words[2].matches("HTTP/1\\.[0-9]")) {
+      badRequest("invalid HTTP/1.1 request line");
       return;
     }
     method = words[0];
     String target = words[1].replaceFirst("^[hH][tT][tT][pP]://[^/?#]*", "").replaceFirst("[?#].*$", "");
     if (!target.startsWith("/")) {
-      bad("the target is no path");
+      badRequest("the request target is not a path");
       return;
     }
     path = new ArrayList<>();
     for (String segment : target.substring(1).split("/", -1)) {
-      String text = decoded(segment);
+      String text = percentDecode(segment);
       if (text == null) {
-        bad("the path cannot be decoded");
+        badRequest("invalid encoding of the path");
         return;
       }
       path.add(text);
     }
   }
 
-  private static boolean token(String word) {
+  private static boolean isToken(String word) {
     return !word.isEmpty() && word.chars().allMatch(c -> c > ' ' && c < 0x7f && "\"(),/:;<=>?@[\\]{}".indexOf(c) < 0);
   }
 
-  /** A segment with its percent signs decoded, or null where that makes no text. */
-  private static String decoded(String segment) {
+  /** The percent-decoded segment, or null if its encoding or the UTF-8 text that results is invalid. */
+  private static String percentDecode(String segment) {
     ByteBuffer bytes = ByteBuffer.allocate(segment.length());
     for (int i = 0; i < segment.length(); i++) {
       char next = segment.charAt(i);
@@ -129,7 +130,7 @@
     }
   }
 
-  private void bad(String why) {
-    fault = Answer.no(400, "Bad Request", why);
+  private void badRequest(String message) {
+    fault = Answer.no(400, "Bad Request", message);
   }
 }
--- a/proxy/src/main/java/amberhoist/mgmt/Figures.java
+++ b/proxy/src/main/java/amberhoist/mgmt/Figures.java
@@ -8,28 +8,29 @@
 import java.util.Map;
 
 /**
- * The figures that operators fetch, by their names for things.
+ * The metrics of the management API. Its JSON calls providers viewer hosts.
  *
- * @param served connections brought up, by class
- * @param refused rejections, by class
- * @param failed failures, by class
- * @param attempts attempts whose line was written whole
- * @param inFlight connections taken and not ended
- * @param known providers in the list
- * @param excluded providers in the list that get nothing now, by hand or by the module's choice
+ * @param served connections set up, by class
+ * @param refused rejected requests, by class
+ * @param failed failed requests, by class
+ * @param attempts attempts whose line has been written completely
+ * @param inFlight invocations that have started and not ended
+ * @param known listed providers
+ * @param excluded listed providers that get no new requests, suspended by an operator or excluded
+ *     by the balancer
  */
-public record Figures(Map<String, Long> served, Map<String, Long> refused, Map<String, Long> failed, long attempts,
-    long inFlight, long known, long excluded) {
+public record Figures(Map<String, Long> served, Map<String, Long> refused, Map<String, Long> failed,
+    long attempts, long inFlight, long known, long excluded) {
   private static final JsonFactory JSON = new JsonFactory();
 
-  /** As JSON, on one line. */
+  /** The metrics as one line of JSON. */
   public String json() {
     StringWriter text = new StringWriter();
     try (JsonGenerator out = JSON.createGenerator(text)) {
       out.writeStartObject();
-      write(out, "served", served);
-      write(out, "refused", refused);
-      write(out, "failed", failed);
+      writeCounts(out, "served", served);
+      writeCounts(out, "refused", refused);
+      writeCounts(out, "failed", failed);
       out.writeNumberField("attempts", attempts);
       out.writeNumberField("in_flight", inFlight);
       out.writeNumberField("viewer_hosts_known", known);
@@ -41,7 +42,7 @@
     return text.toString();
   }
 
-  private static void write(JsonGenerator out, String name, Map<String, Long> counts) throws IOException {
+  private static void writeCounts(JsonGenerator out, String name, Map<String, Long> counts) throws IOException {
     out.writeObjectFieldStart(name);
     for (Map.Entry<String, Long> count : counts.entrySet()) {
       out.writeNumberField(count.getKey(), count.getValue());
--- a/proxy/src/main/java/amberhoist/mgmt/ManagementServer.java
+++ b/proxy/src/main/java/amberhoist/mgmt/ManagementServer.java
@@ -15,207 +15,213 @@
 import java.util.function.Consumer;
 
 /**
- * The operators' door: takes calls at an address of its own, on a thread of its own, so that no caller waits behind
- * another or behind the clients. Callers are bounded in number and time.
+ * The HTTP server of the management API. It has its own address and thread and uses asynchronous I/O, so that no
+ * request waits for another one or for the proxy's clients. The number and duration of its connections are limited.
  */
 public final class ManagementServer implements AutoCloseable {
-  /** Callers at once; above that the one that has been here longest goes. */
-  static final int CALLERS = 24;
-  /** What the door holds at most: its callers, the listener, and the group's poller with its wake-up pair. */
-  public static final int DESCRIPTORS = CALLERS + 5;
+  /** The maximum number of connections at once; above it the oldest is closed. */
+  static final int MAX_CONNECTIONS = 24;
+  /** The maximum number of descriptors: the connections, the listener, and the group's poller with its wake-up pair. */
+  public static final int DESCRIPTORS = MAX_CONNECTIONS + 5;
 
-  private static final long PATIENCE = 6_000; // ms for a whole call: some dawdle for seconds and mean it
-  private static final long LINGER = 1_000; // ms for the caller to end its side
-  private static final int BODY_MOST = 1 << 20; // read and ignored
+  private static final long REQUEST_TIMEOUT_MILLIS = 6_000; // for a whole request; legitimate clients may take seconds
+  private static final long LINGER_TIMEOUT_MILLIS = 1_000; // for a write, and for the client to close its side
+  private static final int MAX_BODY_BYTES = 1 << 20; // read and discarded
 
-  /** A connection from an operator. */
-  private final class Caller {
+  /** A connection from a client of the management API. */
+  private final class Client {
     final AsynchronousSocketChannel channel;
     final CallParser parser = new CallParser();
     final ByteBuffer in = ByteBuffer.allocate(1024);
-    final long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE);
+    final long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REQUEST_TIMEOUT_MILLIS);
     ByteBuffer out;
-    int ignored;
+    int discardedBytes;
 
-    Caller(AsynchronousSocketChannel channel) {
+    Client(AsynchronousSocketChannel channel) {
       this.channel = channel;
     }
 
-    long left() {
-      return Math.max(1, TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime()));
+    long remainingMillis() {
+      return Math.max(1, TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime()));
     }
   }
 
-  private interface Step {
-    void on(Caller caller, int bytes) throws IOException;
+  private interface IoStep {
+    void onCompleted(Client client, int bytes) throws IOException;
   }
 
   private final Routes routes;
-  private final Consumer<Throwable> faults;
+  private final Consumer<Throwable> failureListener;
   private final AsynchronousChannelGroup group;
   private final AsynchronousServerSocketChannel server;
-  private final Set<Caller> callers = new LinkedHashSet<>(); // guarded by itself, oldest first
-  private final CompletionHandler<Integer, Caller> asked = handler(this::asked);
-  private final CompletionHandler<Integer, Caller> answered = handler(this::answered);
-  private final CompletionHandler<Integer, Caller> drained = handler(this::drained);
+  private final Set<Client> clients = new LinkedHashSet<>(); // in order of arrival; guarded by itself
+  private final CompletionHandler<Integer, Client> readHandler = handler(this::onRead);
+  private final CompletionHandler<Integer, Client> writeHandler = handler(this::onWritten);
+  private final CompletionHandler<Integer, Client> drainHandler = handler(this::onDrained);
 
-  private final CompletionHandler<AsynchronousSocketChannel, Void> accepted = new CompletionHandler<>() {
+  private final CompletionHandler<AsynchronousSocketChannel, Void> acceptHandler = new CompletionHandler<>() {
     @Override
     public void completed(AsynchronousSocketChannel channel, Void none) {
-      arrive(new Caller(channel));
+      onAccepted(new Client(channel));
       accept();
     }
 
     @Override
     public void failed(Throwable fault, Void none) {
       if (server.isOpen()) {
-        faults.accept(fault);
-        leaveOldest(); // out of descriptors, mostly: one caller less is one more
+        failureListener.accept(fault);
+        disconnectOldest(); // usually out of descriptors: closing a connection frees one
         accept();
       }
     }
   };
 
-  /** Listens there, and answers by these routes from now on; {@code faults} is told what goes wrong meanwhile. */
-  public ManagementServer(InetSocketAddress listen, Routes routes, Consumer<Throwable> faults) throws IOException {
+  /**
+   * Starts the server.
+   *
+   * @param failureListener called on the server's thread when a connection cannot be accepted
+   * @throws IOException if it cannot listen on the address
+   */
+  public ManagementServer(InetSocketAddress listen, Routes routes, Consumer<Throwable> failureListener)
+      throws IOException {
     this.routes = routes;
-    this.faults = faults;
+    this.failureListener = failureListener;
     group = AsynchronousChannelGroup.withFixedThreadPool(1, task -> {
-      Thread thread = new Thread(null, task, "door", 1 << 18);
+      Thread thread = new Thread(null, task, "management", 1 << 18);
       thread.setDaemon(true);
       return thread;
     });
     try {
       server = AsynchronousServerSocketChannel.open(group);
       server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-      server.bind(listen, 2 * CALLERS);
+      server.bind(listen, 2 * MAX_CONNECTIONS);
     } catch (IOException | RuntimeException fault) {
       group.shutdownNow();
-      throw new IOException("cannot listen for operators on " + listen + ": " + fault.getMessage(), fault);
+      throw new IOException("cannot listen for management requests on " + listen + ": " + fault.getMessage(), fault);
     }
     accept();
   }
 
-  /** The address that is listened on. */
+  /** The address that the server listens on. */
   public InetSocketAddress address() throws IOException {
     return (InetSocketAddress) server.getLocalAddress();
   }
 
   private void accept() {
     if (server.isOpen()) {
-      server.accept(null, accepted);
+      server.accept(null, acceptHandler);
     }
   }
 
-  private CompletionHandler<Integer, Caller> handler(Step step) {
+  private CompletionHandler<Integer, Client> handler(IoStep step) {
     return new CompletionHandler<>() {
       @Override
-      public void completed(Integer bytes, Caller caller) {
+      public void completed(Integer bytes, Client client) {
         try {
-          step.on(caller, bytes);
+          step.onCompleted(client, bytes);
         } catch (IOException | RuntimeException fault) {
-          leave(caller);
+          disconnect(client);
         }
       }
 
       @Override
-      public void failed(Throwable gone, Caller caller) {
-        leave(caller); // the time is up, or the connection is gone
+      public void failed(Throwable failure, Client client) {
+        disconnect(client); // timed out, or the connection broke
       }
     };
   }
 
-  private void arrive(Caller caller) {
-    synchronized (callers) {
-      callers.add(caller);
+  private void onAccepted(Client client) {
+    synchronized (clients) {
+      clients.add(client);
     }
-    if (count() > CALLERS) {
-      leaveOldest();
+    if (clientCount() > MAX_CONNECTIONS) {
+      disconnectOldest();
     }
-    read(caller);
+    read(client);
   }
 
-  private int count() {
-    synchronized (callers) {
-      return callers.size();
+  private int clientCount() {
+    synchronized (clients) {
+      return clients.size();
     }
   }
 
-  private void leaveOldest() {
-    Caller oldest;
-    synchronized (callers) {
-      Iterator<Caller> all = callers.iterator();
+  private void disconnectOldest() {
+    Client oldest;
+    synchronized (clients) {
+      Iterator<Client> all = clients.iterator();
       oldest = all.hasNext() ? all.next() : null;
     }
     if (oldest != null) {
-      leave(oldest);
+      disconnect(oldest);
     }
   }
 
-  private void leave(Caller caller) {
-    synchronized (callers) {
-      callers.remove(caller);
+  private void disconnect(Client client) {
+    synchronized (clients) {
+      clients.remove(client);
     }
     try {
-      caller.channel.close();
-    } catch (IOException gone) {
-      // it is closed either way
+      client.channel.close();
+    } catch (IOException ignored) {
+      // closed all the same
     }
   }
 
-  private void read(Caller caller) {
-    caller.in.clear();
-    caller.channel.read(caller.in, caller.left(), TimeUnit.MILLISECONDS, caller, asked);
+  private void read(Client client) {
+    client.in.clear();
+    client.channel.read(client.in, client.remainingMillis(), TimeUnit.MILLISECONDS, client, readHandler);
   }
 
-  private void asked(Caller caller, int bytes) {
+  private void onRead(Client client, int bytes) {
     if (bytes < 0) {
-      caller.parser.ended();
+      client.parser.ended();
     } else {
-      caller.parser.take(caller.in.flip());
+      client.parser.take(client.in.flip());
     }
-    if (!caller.parser.done()) {
-      read(caller);
+    if (!client.parser.done()) {
+      read(client);
       return;
     }
-    caller.ignored = caller.in.remaining();
-    if (caller.parser.fault() != null) {
-      say(caller, caller.parser.fault());
+    client.discardedBytes = client.in.remaining();
+    if (client.parser.fault() != null) {
+      respond(client, client.parser.fault());
     } else {
-      routes.answer(caller.parser.call()).whenComplete((answer, fault) -> say(caller, fault == null ? answer
+      routes.answer(client.parser.call()).whenComplete((response, fault) -> respond(client, fault == null ? response
           : Answer.no(503, "Service Unavailable", String.valueOf(fault.getMessage()))));
     }
   }
 
-  private void say(Caller caller, Answer answer) {
-    caller.out = ByteBuffer.wrap(answer.bytes());
-    write(caller);
+  private void respond(Client client, Answer response) {
+    client.out = ByteBuffer.wrap(response.bytes());
+    write(client);
   }
 
-  private void write(Caller caller) {
-    caller.channel.write(caller.out, LINGER, TimeUnit.MILLISECONDS, caller, answered);
+  private void write(Client client) {
+    client.channel.write(client.out, LINGER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS, client, writeHandler);
   }
 
-  private void answered(Caller caller, int bytes) throws IOException {
-    if (caller.out.hasRemaining()) {
-      write(caller);
+  private void onWritten(Client client, int bytes) throws IOException {
+    if (client.out.hasRemaining()) {
+      write(client);
       return;
     }
-    caller.channel.shutdownOutput();
-    drain(caller); // closed with a body unread, the connection would be reset and the answer with it
+    client.channel.shutdownOutput();
+    drain(client); // closing with unread data would reset the connection and lose the response
   }
 
-  private void drain(Caller caller) {
-    caller.in.clear();
-    caller.channel.read(caller.in, LINGER, TimeUnit.MILLISECONDS, caller, drained);
+  private void drain(Client client) {
+    client.in.clear();
+    client.channel.read(client.in, LINGER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS, client, drainHandler);
   }
 
-  private void drained(Caller caller, int bytes) {
-    caller.ignored += Math.max(0, bytes);
-    if (bytes < 0 || caller.ignored > BODY_MOST || caller.until - System.nanoTime() < 0) {
-      leave(caller);
+  private void onDrained(Client client, int bytes) {
+    client.discardedBytes += Math.max(0, bytes);
+    if (bytes < 0 || client.discardedBytes > MAX_BODY_BYTES || client.deadlineNanos - System.nanoTime() < 0) {
+      disconnect(client);
     } else {
-      drain(caller);
+      drain(client);
     }
   }
 
@@ -223,8 +229,8 @@
   public void close() {
     try {
       group.shutdownNow();
-    } catch (IOException gone) {
-      faults.accept(gone);
+    } catch (IOException fault) {
+      failureListener.accept(fault);
     }
   }
 }
--- a/proxy/src/main/java/amberhoist/mgmt/Operations.java
+++ b/proxy/src/main/java/amberhoist/mgmt/Operations.java
@@ -2,27 +2,27 @@
 
 import java.util.concurrent.CompletionStage;
 
-/** What the door can ask for and command. Each may be called from any thread and returns at once. */
+/** The operations of the management API. All of them are asynchronous and may be called from any thread. */
 public interface Operations {
-  /** How a command went. */
+  /** The result of suspending or resuming a provider. */
   enum Verdict {
-    /** It holds from now on. */
+    /** The change has taken effect. */
     DONE,
-    /** Nobody has this id. */
+    /** No provider has this id. */
     UNKNOWN,
-    /** It could not be kept for a process that takes over, so it does not hold. */
+    /** The change could not be stored for a process that takes over later, so it was not applied. */
     NOT_KEPT
   }
 
-  /** Why this process is not ready to serve; empty when it is. */
+  /** The reason why this process is not ready to serve; an empty string if it is ready. */
   CompletionStage<String> unready();
 
-  /** The figures as they are now. */
+  /** The current metrics. */
   CompletionStage<Figures> figures();
 
-  /** Takes a provider out until it is called back. */
+  /** Suspends a provider: it gets no new requests until it is resumed. */
   CompletionStage<Verdict> suspend(String provider);
 
-  /** Calls a provider back. */
+  /** Resumes a suspended provider. */
   CompletionStage<Verdict> resume(String provider);
 }
