--- a/proxy/src/main/java/amberhoist/upgrade/Handover.java
+++ b/proxy/src/main/java/amberhoist/upgrade/Handover.java
@@ -8,30 +8,30 @@
 import java.util.function.Predicate;
 
 /**
- * What the processes of one proxy keep for one another.
+ * The record that the processes of one proxy share during an upgrade. Changes return a copy.
  *
- * @param suspended the providers that are taken out
- * @param members the processes, in the order of their starts
- * @param bindings where the clients stood that the last process to leave has sent away, by their keys
+ * @param suspended the names of the suspended providers
+ * @param members the processes, in the order in which they started
+ * @param bindings the providers of the clients that the process that stopped last has moved away, by client key
  */
 public record Handover(Set<String> suspended, List<Member> members, Map<String, String> bindings) {
-  /** Nothing known. */
+  /** A record without content. */
   public static final Handover EMPTY = new Handover(Set.of(), List.of(), Map.of());
 
   /**
    * A process of the proxy.
    *
-   * @param token its own, new for each start
-   * @param pid its number
+   * @param token its unique id, new for each start
+   * @param pid its process id
    * @param ready whether it serves
-   * @param descriptors how many it holds
+   * @param descriptors the number of file descriptors that it holds
    */
   public record Member(String token, long pid, boolean ready, int descriptors) {}
 
-  /** The same with this provider taken out, or called back. */
-  public Handover with(String provider, boolean out) {
+  /** A copy in which this provider is suspended or resumed. */
+  public Handover with(String provider, boolean isSuspended) {
     Set<String> names = new TreeSet<>(suspended);
-    if (out) {
+    if (isSuspended) {
       names.add(provider);
     } else {
       names.remove(provider);
@@ -39,7 +39,7 @@
     return new Handover(names, members, bindings);
   }
 
-  /** The same with this in place of what the process last said of itself; a new one comes last. */
+  /** A copy in which this entry replaces the one with the same token, or is added at the end if there is none. */
   public Handover with(Member member) {
     List<Member> all = new ArrayList<>(members);
     for (int i = 0; i < all.size(); i++) {
@@ -52,24 +52,24 @@
     return new Handover(suspended, all, bindings);
   }
 
-  /** The same with these members only. */
-  public Handover keeping(Predicate<Member> which) {
-    return new Handover(suspended, members.stream().filter(which).toList(), bindings);
+  /** A copy with only the members that match. */
+  public Handover keeping(Predicate<Member> predicate) {
+    return new Handover(suspended, members.stream().filter(predicate).toList(), bindings);
   }
 
-  /** The same with these bindings in place of the last. */
-  public Handover binding(Map<String, String> clients) {
-    return new Handover(suspended, members, clients);
+  /** A copy with these bindings in place of the current ones. */
+  public Handover binding(Map<String, String> newBindings) {
+    return new Handover(suspended, members, newBindings);
   }
 
-  /** Whether a process that started after this one serves. */
+  /** Whether a process that started after the one with this token serves. */
   public boolean succeeded(String token) {
-    boolean after = false;
+    boolean isLater = false;
     for (Member member : members) {
-      if (after && member.ready()) {
+      if (isLater && member.ready()) {
         return true;
       }
-      after |= member.token().equals(token);
+      isLater |= member.token().equals(token);
     }
     return false;
   }
--- a/proxy/src/main/java/amberhoist/upgrade/HandoverCodec.java
+++ b/proxy/src/main/java/amberhoist/upgrade/HandoverCodec.java
@@ -15,14 +15,14 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** The record as bytes: one JSON object that says its version first. */
+/** Encodes the record as a JSON object whose first field is the version of the format. */
 public final class HandoverCodec {
-  /** The version that is written. Another one is not read, and a newer one is left as it is. */
+  /** The version of the format. Records of other versions are not read, and those of newer versions not overwritten. */
   public static final int VERSION = 1;
 
   private static final JsonFactory JSON = new JsonFactory();
 
-  /** Bytes that are no record of this version; the message says why, in one line. */
+  /** Thrown when bytes are not a valid record of this version; the message gives the reason in one line. */
   public static final class Unreadable extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -33,7 +33,7 @@
       this.newer = newer;
     }
 
-    /** Whether a newer version of the program has written it. */
+    /** Whether the record has a newer version of the format. */
     public boolean newer() {
       return newer;
     }
@@ -41,7 +41,7 @@
 
   private HandoverCodec() {}
 
-  /** The record's bytes. */
+  /** Encodes a record. */
   public static byte[] write(Handover record) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator out = JSON.createGenerator(bytes)) {
@@ -74,14 +74,15 @@
     return bytes.toByteArray();
   }
 
-  /** Reads a record's bytes. */
+  /** Decodes a record. */
   public static Handover read(byte[] bytes) throws Unreadable {
     try (JsonParser in = JSON.createParser(bytes)) {
-      require(in.nextToken() == JsonToken.START_OBJECT && "version".equals(in.nextFieldName()), "it says no version");
-      require(in.nextToken() == JsonToken.VALUE_NUMBER_INT, "its version is no number");
+      require(in.nextToken() == JsonToken.START_OBJECT && "version".equals(in.nextFieldName()), "no version");
+      require(in.nextToken() == JsonToken.VALUE_NUMBER_INT, "the version is not a number");
       int version = in.getIntValue();
       if (version != VERSION) {
-        throw new Unreadable("it is of version " + version + ", not " + VERSION, version > VERSION);
+        throw new Unreadable("unsupported version " + version + ", expected " + VERSION,
+            version > VERSION);
       }
       Set<String> suspended = new TreeSet<>();
       List<Member> members = new ArrayList<>();
@@ -89,33 +90,34 @@
       while (in.nextToken() == JsonToken.FIELD_NAME) {
         String field = in.currentName();
         if (field.equals("bindings")) {
-          require(in.nextToken() == JsonToken.START_OBJECT, "the bindings are no object");
+          require(in.nextToken() == JsonToken.START_OBJECT, "bindings is not an object");
           while (in.nextToken() == JsonToken.FIELD_NAME) {
             bindings.put(in.currentName(), in.nextTextValue());
           }
-          require(in.currentToken() == JsonToken.END_OBJECT && !bindings.containsValue(null), "a binding to no text");
+          require(in.currentToken() == JsonToken.END_OBJECT && !bindings.containsValue(null),
+              "the value of a binding is not a string");
           continue;
         }
-        require(in.nextToken() == JsonToken.START_ARRAY, field + " is no list");
+        require(in.nextToken() == JsonToken.START_ARRAY, field + " is not an array");
         while (in.nextToken() != JsonToken.END_ARRAY) {
           if (field.equals("suspended")) {
-            require(in.currentToken() == JsonToken.VALUE_STRING, "a name that is no text");
+            require(in.currentToken() == JsonToken.VALUE_STRING, "a suspended provider is not a string");
             suspended.add(in.getText());
           } else {
-            require(field.equals("members"), "a field that is not known");
-            members.add(member(in));
+            require(field.equals("members"), "unknown field");
+            members.add(readMember(in));
           }
         }
       }
-      require(in.currentToken() == JsonToken.END_OBJECT && in.nextToken() == null, "it is not whole");
+      require(in.currentToken() == JsonToken.END_OBJECT && in.nextToken() == null, "the record is incomplete");
       return new Handover(suspended, members, bindings);
     } catch (IOException fault) {
-      throw new Unreadable("it is not whole", false);
+      throw new Unreadable("the record is incomplete or not JSON", false);
     }
   }
 
-  private static Member member(JsonParser in) throws IOException, Unreadable {
-    require(in.currentToken() == JsonToken.START_OBJECT, "a member that is no object");
+  private static Member readMember(JsonParser in) throws IOException, Unreadable {
+    require(in.currentToken() == JsonToken.START_OBJECT, "a member is not an object");
     String token = null;
     long pid = 0;
     boolean ready = false;
@@ -128,16 +130,16 @@
         case "pid" -> pid = in.getLongValue();
         case "ready" -> ready = in.getBooleanValue();
         case "descriptors" -> descriptors = in.getIntValue();
-        default -> require(false, "a member's field that is not known");
+        default -> require(false, "unknown field of a member");
       }
     }
-    require(token != null && pid > 0, "a member without token or number");
+    require(token != null && pid > 0, "a member without token or pid");
     return new Member(token, pid, ready, descriptors);
   }
 
-  private static void require(boolean holds, String why) throws Unreadable {
-    if (!holds) {
-      throw new Unreadable(why, false);
+  private static void require(boolean condition, String message) throws Unreadable {
+    if (!condition) {
+      throw new Unreadable(message, false);
     }
   }
 }
--- a/proxy/src/main/java/amberhoist/upgrade/HandoverFile.java
+++ b/proxy/src/main/java/amberhoist/upgrade/HandoverFile.java
@@ -15,85 +15,94 @@
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
 
-/** The record in its file: replaced whole, under a lock, so that two processes never write over one another. */
+/** Stores the record in a file. Updates hold a lock and replace the file atomically, so that no update is lost. */
 final class HandoverFile {
-  private static final String NAME = "amberhoist.handover";
-  private static final int TRIES = 40; // for the lock, which is held for a write of a few hundred bytes
-  private static final long PAUSE = 5_000_000; // ns between them
+  private static final String FILE_NAME = "amberhoist.handover";
+  private static final int MAX_LOCK_ATTEMPTS = 40; // the lock is held while a few hundred bytes are written
+  private static final long LOCK_RETRY_NANOS = 5_000_000;
 
   private final Path file;
-  private final Path fresh;
-  private final Path lock;
-  private final Consumer<String> unreadable;
-  private Object seen; // what the file was when it was last read
-  private Handover last = Handover.EMPTY;
+  private final Path newFile;
+  private final Path lockFile;
+  private final Consumer<String> unreadableListener;
+  private Object lastFileState; // to detect changes: time, size and key of the file when it was last read
+  private Handover lastRecord = Handover.EMPTY;
 
-  /** The file in this folder; {@code unreadable} is told when what it holds cannot be read. */
-  HandoverFile(Path folder, Consumer<String> unreadable) {
-    this.unreadable = unreadable;
-    file = folder.resolve(NAME);
-    fresh = folder.resolve(NAME + ".new");
-    lock = folder.resolve(NAME + ".lock");
+  /**
+   * Creates an accessor; touches no file yet.
+   *
+   * @param folder the folder that the processes share
+   * @param unreadableListener called with a message when the file cannot be read
+   */
+  HandoverFile(Path folder, Consumer<String> unreadableListener) {
+    this.unreadableListener = unreadableListener;
+    file = folder.resolve(FILE_NAME);
+    newFile = folder.resolve(FILE_NAME + ".new");
+    lockFile = folder.resolve(FILE_NAME + ".lock");
   }
 
   /**
-   * The record as it is now. Guards against a file that is lost or spoilt calling back what was taken out: it is then
-   * as it was read or written last.
+   * Returns the current record. If the file is missing or corrupt, returns the record that was last read or written:
+   * otherwise the loss of the file would resume all suspended providers.
    */
   Handover read() {
     try {
-      Object now = state();
-      if (!now.equals(seen)) {
-        seen = now;
-        last = HandoverCodec.read(Files.readAllBytes(file));
+      Object now = fileState();
+      if (!now.equals(lastFileState)) {
+        lastFileState = now;
+        lastRecord = HandoverCodec.read(Files.readAllBytes(file));
       }
-    } catch (NoSuchFileException none) {
-      seen = null;
+    } catch (NoSuchFileException missing) {
+      lastFileState = null;
     } catch (IOException | Unreadable fault) {
-      unreadable.accept(file + " cannot be read: " + fault.getMessage());
+      unreadableListener.accept(file + " cannot be read: " + fault.getMessage());
     }
-    return last;
+    return lastRecord;
   }
 
-  private Object state() throws IOException {
+  private Object fileState() throws IOException {
     BasicFileAttributes now = Files.readAttributes(file, BasicFileAttributes.class);
     return List.of(now.lastModifiedTime(), now.size(), String.valueOf(now.fileKey()));
   }
 
-  /** Changes the record, and returns what was written. */
+  /**
+   * Applies a change to the stored record and returns the new record.
+   *
+   * @throws IOException if the file cannot be locked or written, or holds a record of a newer version
+   */
   Handover update(UnaryOperator<Handover> change) throws IOException {
-    try (FileChannel channel = FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
-      locked(channel); // until the channel is closed
-      Handover before = last;
+    try (FileChannel channel = FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
+      acquireLock(channel); // held until the channel is closed
+      Handover before = lastRecord;
       try {
         before = HandoverCodec.read(Files.readAllBytes(file));
-      } catch (NoSuchFileException none) {
-        // the first record, or it was removed
+      } catch (NoSuchFileException missing) {
+        // not written yet, or removed
       } catch (Unreadable fault) {
         if (fault.newer()) {
-          throw new IOException("a newer version keeps " + file + ": " + fault.getMessage(), fault);
+          throw new IOException("a newer version has written " + file + ": " + fault.getMessage(), fault);
         }
       }
       Handover after = change.apply(before);
-      Files.write(fresh, HandoverCodec.write(after));
-      Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-      last = after;
-      seen = state();
+      Files.write(newFile, HandoverCodec.write(after));
+      Files.move(newFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+      lastRecord = after;
+      lastFileState = fileState();
       return after;
     }
   }
 
-  private void locked(FileChannel channel) throws IOException {
-    for (int i = 0; i < TRIES; i++) {
+  private void acquireLock(FileChannel channel) throws IOException {
+    for (int i = 0; i < MAX_LOCK_ATTEMPTS; i++) {
       try {
         if (channel.tryLock() != null) {
           return;
         }
-      } catch (OverlappingFileLockException another) {
-        // held within this process
+      } catch (OverlappingFileLockException ignored) {
+        // held by this process
       }
-      LockSupport.parkNanos(PAUSE);
+      LockSupport.parkNanos(LOCK_RETRY_NANOS);
     }
-    throw new IOException("somebody else holds " + lock);
+    throw new IOException("another process holds " + lockFile);
   }
 }
--- a/proxy/src/main/java/amberhoist/upgrade/Succession.java
+++ b/proxy/src/main/java/amberhoist/upgrade/Succession.java
@@ -13,148 +13,161 @@
 import java.util.function.UnaryOperator;
 
 /**
- * One of the processes of a proxy, beside the others: what is kept for all of them goes through the record in the
- * folder that they share. Files are looked at and written on a thread of its own.
+ * Coordinates this process with the other processes of the same proxy during an upgrade, through a record in a folder
+ * that they share. Reads and writes files on its own thread.
  */
 public final class Succession implements AutoCloseable {
-  /** What is told of the others; calls come on the thread of the succession and must return at once. */
+  /** Receives changes made by the other processes, on the coordinator's thread. Callbacks must not block. */
   public interface Host {
-    /** These providers are taken out, by a call at whichever door; told in order, and {@code done} once it holds. */
+    /**
+     * The set of suspended providers has changed, through the management API of any process. Calls come in order.
+     *
+     * @param done to be run once the change has taken effect
+     */
     void suspended(Set<String> providers, Runnable done);
 
-    /** These clients, by their keys, stood at these providers through a process that now sends them here. */
+    /** Another process moves its clients to this one; the map gives the provider of each client key. */
     void bindings(Map<String, String> clients);
 
-    /** The others hold so many descriptors, 0 when there is none. */
+    /** The number of descriptors that the other processes hold, 0 if there are none. */
     void elsewhere(int descriptors);
   }
 
-  private static final long PERIOD = 100; // ms between looks at the record
-  private static final int FILES = 3; // what a change of the record opens for a moment
+  private static final long POLL_PERIOD_MILLIS = 100;
+  private static final int UPDATE_DESCRIPTORS = 3; // opened for a moment by an update of the record
 
   private final String token = UUID.randomUUID().toString();
   private final HandoverFile file;
-  private final Host host;
-  private final Consumer<String> log;
-  private final ScheduledThreadPoolExecutor thread;
-  private Handover seen = Handover.EMPTY;
+  private final Host listener;
+  private final Consumer<String> failureListener;
+  private final ScheduledThreadPoolExecutor executor;
+  private Handover lastSeen = Handover.EMPTY;
   private Member self = new Member(token, ProcessHandle.current().pid(), false, 0);
-  private int elsewhere;
-  private volatile int held;
-  private String lastFault = "";
-
-  /** A process that shares this folder with others; {@code log} is told what goes wrong with it. */
-  public Succession(Path folder, Host host, Consumer<String> log) {
-    this.host = host;
-    this.log = log;
-    file = new HandoverFile(folder, this::fault);
-    thread = new ScheduledThreadPoolExecutor(1, task -> {
-      Thread made = new Thread(null, task, "upgrade", 1 << 18);
-      made.setDaemon(true);
-      return made;
+  private int otherDescriptors;
+  private volatile int heldDescriptors;
+  private String lastFailure = "";
+
+  /**
+   * Creates a coordinator; {@link #join} starts it.
+   *
+   * @param folder the folder that the processes share
+   * @param failureListener called with a message when the record cannot be read or written
+   */
+  public Succession(Path folder, Host listener, Consumer<String> failureListener) {
+    this.listener = listener;
+    this.failureListener = failureListener;
+    file = new HandoverFile(folder, this::reportFailure);
+    executor = new ScheduledThreadPoolExecutor(1, task -> {
+      Thread thread = new Thread(null, task, "upgrade", 1 << 18);
+      thread.setDaemon(true);
+      return thread;
     });
   }
 
-  /** Joins the others, before this process serves; {@code host} has been told of all suspensions when it returns. */
+  /** Registers this process before it serves. When this returns, the listener has received all suspensions. */
   public void join() {
-    seen = kept(record -> record.with(self));
-    host.suspended(seen.suspended(), () -> { });
-    beat();
-    thread.scheduleWithFixedDelay(this::beat, PERIOD, PERIOD, TimeUnit.MILLISECONDS);
+    lastSeen = updateRecord(record -> record.with(self));
+    listener.suspended(lastSeen.suspended(), () -> { });
+    poll();
+    executor.scheduleWithFixedDelay(this::poll, POLL_PERIOD_MILLIS, POLL_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** From now on this process serves. */
+  /** Records that this process serves from now on. */
   public CompletableFuture<Void> ready() {
     return CompletableFuture.runAsync(() -> {
-      self = new Member(token, self.pid(), true, held);
-      seen = kept(record -> record.with(self));
-    }, thread);
+      self = new Member(token, self.pid(), true, heldDescriptors);
+      lastSeen = updateRecord(record -> record.with(self));
+    }, executor);
   }
 
-  /** This process holds so many descriptors; it may be called from any thread. */
+  /** Sets the number of descriptors that this process holds; callable from any thread. */
   public void holds(int descriptors) {
-    held = descriptors + FILES;
+    heldDescriptors = descriptors + UPDATE_DESCRIPTORS;
   }
 
-  /** Takes a provider out or calls it back, for all processes; whether that could be kept and now holds here. */
-  public CompletableFuture<Boolean> suspend(String provider, boolean out) {
-    CompletableFuture<Boolean> done = new CompletableFuture<>();
-    thread.execute(() -> {
+  /**
+   * Suspends or resumes a provider in all processes. Completes with true once the change is stored and has taken effect
+   * in this process, with false if it could not be stored.
+   */
+  public CompletableFuture<Boolean> suspend(String provider, boolean suspended) {
+    CompletableFuture<Boolean> result = new CompletableFuture<>();
+    executor.execute(() -> {
       try {
-        seen = file.update(record -> living(record.with(provider, out)).with(self));
-        host.suspended(seen.suspended(), () -> done.complete(true));
-      } catch (IOException | RuntimeException failed) {
-        fault(String.valueOf(failed.getMessage()));
-        done.complete(false);
+        lastSeen = file.update(record -> withoutDeadMembers(record.with(provider, suspended)).with(self));
+        listener.suspended(lastSeen.suspended(), () -> result.complete(true));
+      } catch (IOException | RuntimeException failure) {
+        reportFailure(String.valueOf(failure.getMessage()));
+        result.complete(false);
       }
     });
-    return done;
+    return result;
   }
 
-  /** Keeps where this process's clients stand, by their keys, for the one that they are sent to. */
+  /** Stores the provider of each of this process's clients, by client key, for the process that they are moved to. */
   public void leave(Map<String, String> clients) {
-    CompletableFuture.runAsync(() -> kept(record -> record.binding(clients)), thread).join();
+    CompletableFuture.runAsync(() -> updateRecord(record -> record.binding(clients)), executor).join();
   }
 
-  /** Whether a process that started after this one serves now. */
+  /** Whether a live process that started after this one serves. */
   public boolean succeeded() {
-    return CompletableFuture.supplyAsync(() -> living(file.read()).succeeded(token), thread).join();
+    return CompletableFuture.supplyAsync(() -> withoutDeadMembers(file.read()).succeeded(token), executor).join();
   }
 
-  private void beat() {
+  private void poll() {
     try {
       Handover now = file.read();
-      if (!now.suspended().equals(seen.suspended())) {
-        host.suspended(now.suspended(), () -> { });
+      if (!now.suspended().equals(lastSeen.suspended())) {
+        listener.suspended(now.suspended(), () -> { });
       }
-      if (!now.bindings().equals(seen.bindings()) && !now.succeeded(token)) { // told to the latest process
-        host.bindings(now.bindings());
+      // Only the process that started last receives the bindings: clients are moved to it.
+      if (!now.bindings().equals(lastSeen.bindings()) && !now.succeeded(token)) {
+        listener.bindings(now.bindings());
       }
-      seen = now;
-      int others = living(now).members().stream().filter(member -> !member.token().equals(token))
+      lastSeen = now;
+      int others = withoutDeadMembers(now).members().stream().filter(member -> !member.token().equals(token))
           .mapToInt(Member::descriptors).sum();
-      if (others != elsewhere || others > 0) {
-        elsewhere = others;
-        host.elsewhere(others);
+      if (others != otherDescriptors || others > 0) {
+        otherDescriptors = others;
+        listener.elsewhere(others);
       }
-      if (held != self.descriptors() && (others > 0 || self.descriptors() == 0)) {
-        self = new Member(token, self.pid(), self.ready(), held);
-        seen = kept(record -> record.with(self));
+      if (heldDescriptors != self.descriptors() && (others > 0 || self.descriptors() == 0)) {
+        self = new Member(token, self.pid(), self.ready(), heldDescriptors);
+        lastSeen = updateRecord(record -> record.with(self));
       }
-    } catch (RuntimeException failed) {
-      fault(String.valueOf(failed.getMessage()));
+    } catch (RuntimeException failure) {
+      reportFailure(String.valueOf(failure.getMessage()));
     }
   }
 
-  /** Writes a change; what cannot be written costs a line in the log, and holds here all the same. */
-  private Handover kept(UnaryOperator<Handover> change) {
+  /** Applies a change to the record. On failure reports it and returns the last known record. */
+  private Handover updateRecord(UnaryOperator<Handover> change) {
     try {
-      return file.update(record -> change.apply(living(record)));
-    } catch (IOException failed) {
-      fault(String.valueOf(failed.getMessage()));
+      return file.update(record -> change.apply(withoutDeadMembers(record)));
+    } catch (IOException failure) {
+      reportFailure(String.valueOf(failure.getMessage()));
       return file.read();
     }
   }
 
-  private Handover living(Handover record) {
+  private Handover withoutDeadMembers(Handover record) {
     return record.keeping(member -> member.token().equals(token)
         || ProcessHandle.of(member.pid()).map(ProcessHandle::isAlive).orElse(false));
   }
 
-  private void fault(String why) {
-    if (!why.equals(lastFault)) {
-      lastFault = why;
-      log.accept(why);
+  private void reportFailure(String message) {
+    if (!message.equals(lastFailure)) {
+      lastFailure = message;
+      failureListener.accept(message);
     }
   }
 
   @Override
   public void close() {
-    thread.execute(() -> kept(record -> record.keeping(member -> !member.token().equals(token))));
-    thread.shutdown();
+    executor.execute(() -> updateRecord(record -> record.keeping(member -> !member.token().equals(token))));
+    executor.shutdown();
     try {
-      thread.awaitTermination(1, TimeUnit.SECONDS);
-    } catch (InterruptedException ended) {
+      executor.awaitTermination(1, TimeUnit.SECONDS);
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     }
   }
