--- a/proxy/src/main/java/amberhoist/service/ManagementActions.java
+++ b/proxy/src/main/java/amberhoist/service/ManagementActions.java
@@ -19,7 +19,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 
-/** Takes what the operators' door asks for to the loop's thread, which owns all that it is answered from. */
+/** Runs the operations of the management API on the loop's thread, which owns the state that they read and change. */
 final class ManagementActions implements Operations {
   private final Loop loop;
   private final Core core;
@@ -27,71 +27,78 @@
   private final Counters counters;
   private final BooleanSupplier stopping;
   private final EventLog log;
-  private final Succession succession;
+  private final Succession coordinator;
 
-  /** A desk for this core; {@code stopping} is asked on the loop's thread, {@code succession} null for none. */
+  /**
+   * Creates the operations on this core.
+   *
+   * @param stopping whether the proxy is stopping; called on the loop's thread
+   * @param coordinator shares suspensions with the other processes of an upgrade; null if there can be none
+   */
   ManagementActions(Loop loop, Core core, AddressBook addresses, Counters counters, BooleanSupplier stopping,
-      EventLog log, Succession succession) {
+      EventLog log, Succession coordinator) {
     this.loop = loop;
     this.core = core;
     this.addresses = addresses;
     this.counters = counters;
     this.stopping = stopping;
     this.log = log;
-    this.succession = succession;
+    this.coordinator = coordinator;
   }
 
-  private <T> CompletableFuture<T> asked(Supplier<T> question) {
-    CompletableFuture<T> answer = new CompletableFuture<>();
+  private <T> CompletableFuture<T> runOnLoop(Supplier<T> query) {
+    CompletableFuture<T> result = new CompletableFuture<>();
     loop.ahead(() -> {
       try {
-        answer.complete(question.get());
+        result.complete(query.get());
       } catch (RuntimeException fault) {
-        answer.completeExceptionally(fault);
+        result.completeExceptionally(fault);
       }
     });
-    return answer;
+    return result;
   }
 
   @Override
   public CompletableFuture<String> unready() {
-    return asked(() -> stopping.getAsBoolean() ? "it stops"
+    return runOnLoop(() -> stopping.getAsBoolean() ? "the proxy is stopping"
         : addresses.listed().isEmpty() ? "it has no list of viewer hosts" : "");
   }
 
-  /** Whether anybody has this id: the directory lists it, or it was taken out and has left since. */
-  private boolean known(String provider) {
+  /** Whether this provider is known: the directory lists it, or it was suspended and has left the directory since. */
+  private boolean isKnown(String provider) {
     return core.suspended().contains(provider)
         || addresses.listed().stream().anyMatch(server -> server.name().equals(provider));
   }
 
   @Override
   public CompletableFuture<Verdict> suspend(String provider) {
-    return command(provider, true, Event.PROVIDER_SUSPENDED, "taken out by an operator");
+    return changeSuspension(provider, true, Event.PROVIDER_SUSPENDED, "suspended by an operator");
   }
 
   @Override
   public CompletableFuture<Verdict> resume(String provider) {
-    return command(provider, false, Event.PROVIDER_RESUMED, "called back by an operator");
+    return changeSuspension(provider, false, Event.PROVIDER_RESUMED, "resumed by an operator");
   }
 
-  /** Kept first, for a process that takes over, and done then: a yes must hold over an upgrade. */
-  private CompletableFuture<Verdict> command(String provider, boolean out, Event event, String message) {
-    return asked(() -> known(provider)).thenCompose(known -> known ? done(provider, out).thenApply(done -> {
-      if (done) {
-        log.tell(event, message, "provider", provider);
-      }
-      return done ? Verdict.DONE : Verdict.NOT_KEPT;
-    }) : CompletableFuture.completedFuture(Verdict.UNKNOWN));
+  /** Stores the change before applying it: a change that was reported as done must survive an upgrade. */
+  private CompletableFuture<Verdict> changeSuspension(String provider, boolean suspended, Event event,
+      String message) {
+    return runOnLoop(() -> isKnown(provider))
+        .thenCompose(known -> known ? applySuspension(provider, suspended).thenApply(done -> {
+          if (done) {
+            log.tell(event, message, "provider", provider);
+          }
+          return done ? Verdict.DONE : Verdict.NOT_KEPT;
+        }) : CompletableFuture.completedFuture(Verdict.UNKNOWN));
   }
 
-  private CompletableFuture<Boolean> done(String provider, boolean out) {
-    if (succession != null) {
-      return succession.suspend(provider, out);
+  private CompletableFuture<Boolean> applySuspension(String provider, boolean suspended) {
+    if (coordinator != null) {
+      return coordinator.suspend(provider, suspended);
     }
-    return asked(() -> {
+    return runOnLoop(() -> {
       Set<String> names = new HashSet<>(core.suspended());
-      if (out ? names.add(provider) : names.remove(provider)) {
+      if (suspended ? names.add(provider) : names.remove(provider)) {
         core.suspend(loop.now(), names);
       }
       return true;
@@ -100,7 +107,7 @@
 
   @Override
   public CompletableFuture<Figures> figures() {
-    return asked(() -> {
+    return runOnLoop(() -> {
       Outcomes outcomes = counters.outcomes();
       List<Server> listed = addresses.listed();
       long now = loop.now();
--- a/proxy/src/main/java/amberhoist/service/Service.java
+++ b/proxy/src/main/java/amberhoist/service/Service.java
@@ -45,12 +45,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** A whole proxy: core and module on a loop, with sockets, directory and admin socket round them. */
+/** A complete proxy: core and decision module on an event loop, with sockets, directory watch and admin socket. */
 public final class Service {
-  private static final long CLOSING = 300_000; // for who rests or comes late, and for the last FINs
-  private static final long SUPPRESSED_EACH = 10_000_000; // between tellings of what the log left out
-  private static final int OWN_DESCRIPTORS = 24; // 12 of the runtime and the group, two watches, the file
-  private static final int LEAST_DESCRIPTORS = 18;
+  private static final long CLOSE_DELAY_MICROS = 300_000; // for idle and late clients, and the last FINs
+  private static final long SUPPRESSED_PERIOD_MICROS = 10_000_000; // between log.suppressed events
+  private static final int OWN_DESCRIPTORS = 24; // 12 of the JVM and its channel group, two directory watches, a file
+  private static final int MIN_DESCRIPTORS = 18;
 
   private final Loop loop;
   private final EventLog log;
@@ -63,64 +63,64 @@
   private final Acceptor acceptor;
   private final Core core;
   private final DirectoryWatch directory;
-  private final Set<CompletableFuture<?>> asks = ConcurrentHashMap.newKeySet();
+  private final Set<CompletableFuture<?>> pendingQueries = ConcurrentHashMap.newKeySet();
   private final CountDownLatch stopped = new CountDownLatch(1);
   private volatile Setup setup;
   private volatile AdminSocket admin;
-  private volatile ManagementServer door;
-  private volatile Succession succession;
-  private int elsewhere; // descriptors held by other processes of this proxy; of the loop's thread
-  private List<String> restartNeeded = List.of(); // of the loop's thread
-  private boolean stopping; // of the loop's thread
-  private InetSocketAddress watched; // of the loop's thread
-  private long servesSince;
+  private volatile ManagementServer managementServer;
+  private volatile Succession coordinator;
+  private int otherDescriptors; // held by the other processes of this proxy; loop thread only
+  private List<String> restartNeeded = List.of(); // loop thread only
+  private boolean stopping; // loop thread only
+  private InetSocketAddress discovery; // loop thread only
+  private long servingSinceMicros;
 
   private Service(Setup setup) throws IOException {
     this.setup = setup;
     Config config = setup.config();
     Operator operator = setup.operator();
     log = new EventLog(config.name(), operator.logSettings());
-    loop = new Loop(fault -> log.fault(Event.LOOP_FAULT, "a task failed", fault),
-        late -> latencies.record(Span.LOOP_LAG, late));
+    loop = new Loop(fault -> log.fault(Event.LOOP_FAULT, "a task on the loop failed", fault),
+        lagMicros -> latencies.record(Span.LOOP_LAG, lagMicros));
     transport = new Transport(loop, descriptors, operator.socketLimits());
     clients = new LineClients(loop, transport, descriptors, counters, log);
     LineProviders providers = new LineProviders(loop, transport, counters, addresses, (provider, fault) ->
         log.tell(Event.PROVIDER_UNDIALLED, "cannot connect", "provider", provider, "why", fault));
     acceptor = new Acceptor(loop, descriptors, counters, operator.socketLimits(), clients::accepted);
-    Switchboard switchboard = new Switchboard(transport, providers, this::ensureWatch,
+    Switchboard switchboard = new Switchboard(transport, providers, this::ensureDirectoryWatch,
         message -> log.tell(Event.MODULE_SAID, message));
     core = new Core(new Policy(), loop.wheel(), switchboard, counters, config.limits(), operator.timing(),
         new Telling(log, latencies));
-    watched = config.discovery();
-    directory = new DirectoryWatch(loop, core, addresses, counters, operator.watchTiming(), watched,
+    discovery = config.discovery();
+    directory = new DirectoryWatch(loop, core, addresses, counters, operator.watchTiming(), discovery,
         config.known().index(), config.seed(), new Telling.Directory(log));
     clients.wire(core);
     providers.wire(core);
-    limit(setup);
+    applyLimits(setup);
   }
 
   private void evict(Connection c) {
     clients.evict(c);
   }
 
-  private void ensureWatch() {
+  private void ensureDirectoryWatch() {
     directory.ensure();
   }
 
-  private void limit(Setup by) {
-    int own = OWN_DESCRIPTORS + (by.config().mgmt() == null ? 0 : ManagementServer.DESCRIPTORS);
-    int all = by.config().sockets();
-    // Each process of an upgrade may take half of what neither holds.
-    all = elsewhere == 0 ? all : own + descriptors.held() + Math.max(0, all - elsewhere - own - descriptors.held()) / 2;
-    descriptors.limit(Math.max(LEAST_DESCRIPTORS, all - own));
-    if (succession != null) {
-      succession.holds(own + descriptors.held());
+  private void applyLimits(Setup newSetup) {
+    int reserved = OWN_DESCRIPTORS + (newSetup.config().mgmt() == null ? 0 : ManagementServer.DESCRIPTORS);
+    int limit = newSetup.config().sockets();
+    limit = otherDescriptors == 0 ? limit // during an upgrade each process may take half of what none holds yet
+        : reserved + descriptors.held() + Math.max(0, limit - otherDescriptors - reserved - descriptors.held()) / 2;
+    descriptors.limit(Math.max(MIN_DESCRIPTORS, limit - reserved));
+    if (coordinator != null) {
+      coordinator.holds(reserved + descriptors.held());
     }
-    counters.outcomes().classes(by.config().settings().classes().stream().map(RequestClass::name).toList());
-    clients.limits(by.operator().lineLimits(), by.config().settings().maxRetryAfter());
+    counters.outcomes().classes(newSetup.config().settings().classes().stream().map(RequestClass::name).toList());
+    clients.limits(newSetup.operator().lineLimits(), newSetup.config().settings().maxRetryAfter());
   }
 
-  /** Starts a proxy by the platform's configuration alone; returns when it listens. */
+  /** Starts a proxy with the platform's configuration and default operator settings; returns when it listens. */
   public static Service start(Config config) throws IOException {
     return start(new Setup(config, Operator.DEFAULT, Map.of()));
   }
@@ -129,37 +129,37 @@
   public static Service start(Setup setup) throws IOException {
     Service service = new Service(setup);
     Config config = setup.config();
-    CompletableFuture<Void> known = new CompletableFuture<>();
+    CompletableFuture<Void> coreStarted = new CompletableFuture<>();
     service.loop.post(() -> {
       try {
         service.addresses.update(config.known());
         service.core.start(service.loop.now(), config.settings(), config.seed(), config.known().providers());
         service.directory.ensure();
-        known.complete(null);
+        coreStarted.complete(null);
       } catch (RuntimeException fault) {
-        known.completeExceptionally(fault);
+        coreStarted.completeExceptionally(fault);
       }
     });
-    CompletableFuture<Void> open = new CompletableFuture<>();
+    CompletableFuture<Void> listening = new CompletableFuture<>();
     try {
-      known.get();
-      service.joinOthers();
+      coreStarted.get();
+      service.joinOtherProcesses();
       service.loop.post(() -> {
         try {
           service.acceptor.open(config.listen(), config.mgmt() != null);
-          service.servesSince = service.loop.now();
-          service.tellSuppressed();
-          open.complete(null);
+          service.servingSinceMicros = service.loop.now();
+          service.logSuppressed();
+          listening.complete(null);
         } catch (IOException | RuntimeException fault) {
-          open.completeExceptionally(fault);
+          listening.completeExceptionally(fault);
         }
       });
-      open.get();
-      if (service.succession != null) {
-        service.succession.ready().join(); // before anybody is told so
+      listening.get();
+      if (service.coordinator != null) {
+        service.coordinator.ready().join(); // before the process reports that it serves
       }
-      service.listenToOperators();
-      service.openDoor();
+      service.startAdminSocket();
+      service.startManagementServer();
       InetSocketAddress address = service.address();
       service.log.tell(Event.PROXY_SERVES, config.name() + " serves on " + address, "address", address);
       return service;
@@ -170,21 +170,21 @@
     }
   }
 
-  /** Where an upgrade may come: the processes of this proxy share what was taken out, and the descriptors. */
-  private void joinOthers() {
+  /** Where upgrades are possible, shares suspensions and the descriptor limit with this proxy's other processes. */
+  private void joinOtherProcesses() {
     Config config = setup.config();
     if (config.mgmt() == null || config.shared() == null) {
       return;
     }
-    succession = new Succession(config.shared(), new Sharing(loop, core, descriptors -> {
-      elsewhere = descriptors;
-      limit(setup);
-    }), why -> log.tell(Event.UPGRADE_FAILED, "what is kept for another process cannot be kept", "why", why));
-    succession.holds(OWN_DESCRIPTORS + ManagementServer.DESCRIPTORS);
-    succession.join();
+    coordinator = new Succession(config.shared(), new Sharing(loop, core, descriptors -> {
+      otherDescriptors = descriptors;
+      applyLimits(setup);
+    }), reason -> log.tell(Event.UPGRADE_FAILED, "cannot read or store the upgrade record", "why", reason));
+    coordinator.holds(OWN_DESCRIPTORS + ManagementServer.DESCRIPTORS);
+    coordinator.join();
   }
 
-  private void listenToOperators() throws IOException {
+  private void startAdminSocket() throws IOException {
     Operator.Admin keys = setup.operator().admin();
     SocketAddress address = AdminAddress.parse(keys.listen());
     if (address != null) {
@@ -192,52 +192,51 @@
     }
   }
 
-  /** Opened last: whoever is answered there finds a proxy that serves. */
-  private void openDoor() throws IOException {
+  /** Called last, so that the management API answers only once the proxy serves. */
+  private void startManagementServer() throws IOException {
     InetSocketAddress address = setup.config().mgmt();
     if (address != null) {
-      door = new ManagementServer(address,
-          new Routes(new ManagementActions(loop, core, addresses, counters, () -> stopping, log, succession)),
-          fault -> log.tell(Event.DOOR_FAILED, "a caller could not be taken in", "why", fault));
-      log.tell(Event.DOOR_LISTENS, "operators are answered", "address", door.address());
+      managementServer = new ManagementServer(address,
+          new Routes(new ManagementActions(loop, core, addresses, counters, () -> stopping, log, coordinator)),
+          fault -> log.tell(Event.DOOR_FAILED, "cannot accept a connection", "why", fault));
+      log.tell(Event.DOOR_LISTENS, "the management API listens", "address", managementServer.address());
     }
   }
 
-  /** Where operators are answered, or null. */
+  /** The address of the management API, or null if there is none. */
   public InetSocketAddress doorAddress() throws IOException {
-    return door == null ? null : door.address();
+    return managementServer == null ? null : managementServer.address();
   }
 
-  private void tellSuppressed() {
+  private void logSuppressed() {
     log.tellSuppressed();
-    loop.wheel().arm(loop.now() + SUPPRESSED_EACH, at -> tellSuppressed());
+    loop.wheel().arm(loop.now() + SUPPRESSED_PERIOD_MICROS, at -> logSuppressed());
   }
 
-  /** The address that is listened on. */
+  /** The address that clients connect to. */
   public InetSocketAddress address() throws IOException {
     return acceptor.address();
   }
 
-  /** Where the admin socket answers, or null. */
+  /** The address of the admin socket, or null if there is none. */
   public SocketAddress adminAddress() {
     return admin == null ? null : admin.address();
   }
 
-  /** The same as {@link #reload(Sources)} with the environment alone. */
+  /** Calls {@link #reload(Sources)} with the environment as the only source. */
   public void reload(Map<String, String> environment) {
     reload(Sources.of(environment));
   }
 
   /**
-   * Reads the configuration again and goes on with it: directory, settings, limits and the operator's keys. Name
-   * and address stay as they are. Anything in it that cannot be used changes nothing. It may be called from any
-   * thread, at any time: the files are read on the caller's, and the loop takes up what was read last.
+   * Reloads the configuration, except for name and listen address. An invalid configuration changes nothing. Callable
+   * from any thread: reads the files on the calling thread; the loop applies them in the order of the calls.
    */
   public synchronized void reload(Sources sources) {
     Runnable task;
     try {
-      Setup fresh = Setup.reload(sources, loop.clock());
-      task = () -> take(fresh);
+      Setup newSetup = Setup.reload(sources, loop.clock());
+      task = () -> apply(newSetup);
     } catch (BadConfig fault) {
       task = () -> {
         counters.add(Count.RELOADS_REFUSED);
@@ -247,50 +246,49 @@
     }
     try {
       loop.post(task);
-    } catch (RejectedExecutionException ended) {
-      // the proxy has stopped meanwhile and needs no configuration any more
+    } catch (RejectedExecutionException ignored) {
+      // the proxy has stopped and needs no configuration
     }
   }
 
-  /** Takes up a whole setup, on the loop's thread and in one task: nothing ever sees half of it. */
-  private void take(Setup fresh) {
+  /** Applies a setup in a single task on the loop's thread, so that no other task sees it half applied. */
+  private void apply(Setup newSetup) {
     counters.add(Count.RELOADS);
-    restartNeeded = Setup.needRestart(setup.operator(), fresh.operator());
+    restartNeeded = Setup.needRestart(setup.operator(), newSetup.operator());
     Setup old = setup;
-    Operator operator = fresh.operator();
-    setup = new Setup(fresh.config(), operator.withRestartKeysOf(old.operator()), fresh.origins());
-    limit(fresh);
+    Operator operator = newSetup.operator();
+    setup = new Setup(newSetup.config(), operator.withRestartKeysOf(old.operator()), newSetup.origins());
+    applyLimits(newSetup);
     transport.limits(operator.socketLimits());
     acceptor.limits(operator.socketLimits());
     directory.timing(operator.watchTiming());
-    core.configure(loop.now(), fresh.config().settings(), fresh.config().limits(), operator.timing());
-    watched = fresh.config().discovery();
-    directory.move(watched);
+    core.configure(loop.now(), newSetup.config().settings(), newSetup.config().limits(), operator.timing());
+    discovery = newSetup.config().discovery();
+    directory.move(discovery);
     log.configure(operator.logSettings());
-    log.tell(Event.CONFIG_RELOADED, "configuration read again, directory at " + watched, "directory", watched);
+    log.tell(Event.CONFIG_RELOADED, "configuration read again, directory at " + discovery, "directory", discovery);
     if (!restartNeeded.isEmpty()) {
-      log.tell(Event.CONFIG_RESTART_NEEDED, "these keys stay as they were until a restart", "keys",
-          String.join(",", restartNeeded));
+      log.tell(Event.CONFIG_RESTART_NEEDED, "a restart is needed", "keys", String.join(",", restartNeeded));
     }
   }
 
-  /** Stops in good order; returns when all is closed. */
+  /** Stops gracefully: moves or rejects the clients, then closes everything. Returns when all is closed. */
   public void stop() {
-    boolean succeeded = succession != null && succession.succeeded();
-    if (succeeded) {
-      succession.leave(asked(() -> {
+    boolean hasSuccessor = coordinator != null && coordinator.succeeded();
+    if (hasSuccessor) {
+      coordinator.leave(runOnLoop(() -> {
         Map<String, String> clients = new HashMap<>();
         core.forEachStanding(clients::put);
         return clients;
       }));
     }
-    log.tell(Event.PROXY_STOPS, succeeded ? "told to end, another process serves in its place" : "told to end");
+    log.tell(Event.PROXY_STOPS, hasSuccessor ? "stopping, another process has taken over" : "stopping");
     loop.post(() -> {
       stopping = true;
-      if (succeeded) {
+      if (hasSuccessor) {
         acceptor.leave();
       }
-      core.stop(loop.now(), succeeded, this::leave);
+      core.stop(loop.now(), hasSuccessor, this::onDrained);
     });
     try {
       stopped.await(1, TimeUnit.MINUTES);
@@ -302,75 +300,71 @@
     log.tell(Event.PROXY_STOPPED, counters.toString());
   }
 
-  /** Nothing is owed and nobody is joined any more. Who rests here, or comes still, is told so before all is closed. */
-  private void leave() {
+  /** No invocation is left: sends idle and newly arriving clients a closing line, then closes everything. */
+  private void onDrained() {
     clients.leave(setup.operator().timing().stopAdvice());
-    loop.wheel().arm(loop.now() + CLOSING / 2, at -> acceptor.close());
-    loop.wheel().arm(loop.now() + CLOSING, at -> {
+    loop.wheel().arm(loop.now() + CLOSE_DELAY_MICROS / 2, at -> acceptor.close());
+    loop.wheel().arm(loop.now() + CLOSE_DELAY_MICROS, at -> {
       transport.close();
       directory.close();
       stopped.countDown();
     });
   }
 
-  /** Closes everything at once, as the end of the process would. */
+  /** Closes everything at once, as if the process had been killed. */
   public void kill() {
     if (admin != null) {
       admin.close();
     }
-    if (door != null) {
-      door.close();
+    if (managementServer != null) {
+      managementServer.close();
     }
-    if (succession != null) {
-      succession.close();
+    if (coordinator != null) {
+      coordinator.close();
     }
     loop.close();
-    asks.forEach(ask -> ask.completeExceptionally(new IllegalStateException("the proxy has stopped")));
+    pendingQueries.forEach(query -> query.completeExceptionally(new IllegalStateException("the proxy has stopped")));
   }
 
-  /** How many connections are held. */
+  /** The number of open sockets. */
   public int connections() {
-    return asked(transport::size);
+    return runOnLoop(transport::size);
   }
 
-  /** How often this has been counted so far. */
+  /** The current value of this counter. */
   public long count(Counters.Count count) {
-    return asked(() -> counters.get(count));
+    return runOnLoop(() -> counters.get(count));
   }
 
-  /** The instance as it is now. */
+  /** A snapshot of the instance. */
   public Status status() {
-    return asked(() -> Statuses.of(setup, stopping, this, (loop.now() - servesSince) / 1000, transport.size(),
-        core, addresses, counters, latencies, log, restartNeeded, watched));
+    return runOnLoop(() -> Statuses.of(setup, stopping, this, (loop.now() - servingSinceMicros) / 1000,
+        transport.size(), core, addresses, counters, latencies, log, restartNeeded, discovery));
   }
 
-  /** The loop, for stories that hold it up. */
+  /** The event loop, for tests that block it. */
   public Loop loop() {
     return loop;
   }
 
-  /**
-   * Asks on the loop's thread, which owns all state. Guards against waiting for ever when the loop is closed before
-   * it comes to the question.
-   */
-  private <T> T asked(Supplier<T> question) {
-    CompletableFuture<T> answer = new CompletableFuture<>();
-    asks.add(answer);
+  /** Runs a query on the loop's thread and waits for it; {@link #kill} ends the wait if the loop closes first. */
+  private <T> T runOnLoop(Supplier<T> query) {
+    CompletableFuture<T> result = new CompletableFuture<>();
+    pendingQueries.add(result);
     try {
       loop.post(() -> {
         try {
-          answer.complete(question.get());
+          result.complete(query.get());
         } catch (RuntimeException fault) {
-          answer.completeExceptionally(fault);
+          result.completeExceptionally(fault);
         }
       });
-      return answer.join();
+      return result.join();
     } finally {
-      asks.remove(answer);
+      pendingQueries.remove(result);
     }
   }
 
-  /** Answers the admin socket. */
   private final class AdminSource implements AdminSocket.Source {
     @Override
     public Status status() {
@@ -379,7 +373,7 @@
 
     @Override
     public Map<Span, org.HdrHistogram.AbstractHistogram> latencies() {
-      return asked(() -> Statuses.copies(latencies));
+      return runOnLoop(() -> Statuses.copies(latencies));
     }
 
     @Override
--- a/proxy/src/main/java/amberhoist/service/Sharing.java
+++ b/proxy/src/main/java/amberhoist/service/Sharing.java
@@ -8,17 +8,21 @@
 import java.util.Set;
 import java.util.function.IntConsumer;
 
-/** Takes what the processes of an upgrade share to the loop's thread. */
+/** Applies what the processes of an upgrade share on the loop's thread. */
 final class Sharing implements Succession.Host {
   private final Loop loop;
   private final Core core;
-  private final IntConsumer elsewhere;
+  private final IntConsumer otherDescriptors;
 
-  /** What is shared goes to this core; {@code elsewhere} is told on the loop's thread. */
-  Sharing(Loop loop, Core core, IntConsumer elsewhere) {
+  /**
+   * Creates a listener that changes this core.
+   *
+   * @param otherDescriptors called on the loop's thread with the number of descriptors that other processes hold
+   */
+  Sharing(Loop loop, Core core, IntConsumer otherDescriptors) {
     this.loop = loop;
     this.core = core;
-    this.elsewhere = elsewhere;
+    this.otherDescriptors = otherDescriptors;
   }
 
   @Override
@@ -36,6 +40,6 @@
 
   @Override
   public void elsewhere(int descriptors) {
-    loop.ahead(() -> elsewhere.accept(descriptors));
+    loop.ahead(() -> otherDescriptors.accept(descriptors));
   }
 }
--- a/proxy/src/main/java/amberhoist/service/Statuses.java
+++ b/proxy/src/main/java/amberhoist/service/Statuses.java
@@ -23,32 +23,32 @@
 import java.util.Map;
 import org.HdrHistogram.AbstractHistogram;
 
-/** Draws up the status of an instance, on the loop's thread. */
+/** Collects the status of an instance, on the loop's thread. */
 final class Statuses {
   private Statuses() {}
 
-  static Status of(Setup setup, boolean stopping, Service service, long uptime, int connections, Core core,
+  static Status of(Setup setup, boolean stopping, Service service, long uptimeMillis, int connections, Core core,
       AddressBook addresses, Counters counters, Latencies latencies, EventLog log, List<String> restartNeeded,
-      InetSocketAddress watched) {
-    Map<String, Integer> standing = new HashMap<>();
-    core.forEachStanding((key, provider) -> standing.merge(provider, 1, Integer::sum));
+      InetSocketAddress directoryAddress) {
+    Map<String, Integer> establishedByProvider = new HashMap<>();
+    core.forEachStanding((key, provider) -> establishedByProvider.merge(provider, 1, Integer::sum));
     List<Provider> providers = new ArrayList<>();
     for (Server server : addresses.listed()) {
       providers.add(new Provider(server.name(), server.zone(), server.state().name().toLowerCase(Locale.ROOT),
-          String.valueOf(addresses.of(server.name())), standing.getOrDefault(server.name(), 0)));
-      standing.remove(server.name());
+          String.valueOf(addresses.of(server.name())), establishedByProvider.getOrDefault(server.name(), 0)));
+      establishedByProvider.remove(server.name());
     }
-    standing.forEach((name, count) -> providers.add(new Provider(name, "", "unlisted", "", count)));
+    establishedByProvider.forEach((name, count) -> providers.add(new Provider(name, "", "unlisted", "", count)));
     Map<String, Latency> spans = new LinkedHashMap<>();
     copies(latencies).forEach((span, histogram) -> spans.put(span.name().toLowerCase(Locale.ROOT),
         new Latency(histogram.getTotalCount(), histogram.getValueAtPercentile(50),
             histogram.getValueAtPercentile(99), histogram.getMaxValue())));
-    return new Status(setup.config().name(), version(), stopping ? "stopping" : "serving", listen(service),
-        String.valueOf(watched), uptime, connections, core.size(), providers, counters.all(), spans,
+    return new Status(setup.config().name(), version(), stopping ? "stopping" : "serving", listenAddress(service),
+        String.valueOf(directoryAddress), uptimeMillis, connections, core.size(), providers, counters.all(), spans,
         new LogStatus(log.suppressed(), EventLog.dropped()), restartNeeded);
   }
 
-  private static String listen(Service service) {
+  private static String listenAddress(Service service) {
     try {
       return String.valueOf(service.address());
     } catch (IOException closed) {
@@ -62,10 +62,10 @@
   }
 
   static Map<Span, AbstractHistogram> copies(Latencies latencies) {
-    Map<Span, AbstractHistogram> copies = new EnumMap<>(Span.class);
+    Map<Span, AbstractHistogram> result = new EnumMap<>(Span.class);
     for (Span span : Span.values()) {
-      copies.put(span, latencies.copy(span));
+      result.put(span, latencies.copy(span));
     }
-    return copies;
+    return result;
   }
 }
--- a/proxy/src/main/java/amberhoist/service/Telling.java
+++ b/proxy/src/main/java/amberhoist/service/Telling.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Takes what the core tells of its work to the log and the latencies. */
+/** Records the core's telemetry in the log and the latency histograms. */
 final class Telling implements Telemetry {
   private final EventLog log;
   private final Latencies latencies;
@@ -24,35 +24,35 @@
   public void called(long invocation, String provider, Outcome outcome, long micros) {
     latencies.record(Span.CALL, micros);
     log.tell(Event.CALL_ENDED, "an attempt ended", "invocation", invocation, "provider", provider, "outcome",
-        outcome == null ? "up" : word(outcome), "micros", micros);
+        outcome == null ? "up" : lowerCaseName(outcome), "micros", micros);
   }
 
   @Override
   public void answered(long invocation, Answer answer, long micros) {
     latencies.record(answer == Answer.UP ? Span.SETUP : Span.TURNED_AWAY, micros);
     log.tell(Event.INVOCATION_ANSWERED, "an invocation got its final answer", "invocation", invocation, "outcome",
-        word(answer), "micros", micros);
+        lowerCaseName(answer), "micros", micros);
   }
 
   @Override
   public void silent(long invocation, String provider) {
-    log.tell(Event.PROVIDER_SILENT, "a provider returns nothing", "invocation", invocation, "provider", provider);
+    log.tell(Event.PROVIDER_SILENT, "the provider is silent", "invocation", invocation, "provider", provider);
   }
 
-  /** Takes what goes wrong with the directory's watch to the log. */
+  /** Logs failures of the directory watch. */
   record Directory(EventLog log) implements DirectoryWatch.Faults {
     @Override
     public void failed(String why, long pause) {
-      log.tell(Event.DIRECTORY_FAILED, "the watch failed", "why", why, "pause_ms", pause);
+      log.tell(Event.DIRECTORY_FAILED, "the directory watch failed", "why", why, "pause_ms", pause);
     }
 
     @Override
     public void unread(Set<String> providers) {
-      log.tell(Event.DIRECTORY_UNREAD, "entries could not be read", "providers", String.join(",", providers));
+      log.tell(Event.DIRECTORY_UNREAD, "cannot read directory entries", "providers", String.join(",", providers));
     }
   }
 
-  private static String word(Enum<?> constant) {
+  private static String lowerCaseName(Enum<?> constant) {
     return constant.name().toLowerCase(Locale.ROOT);
   }
 }
