--- a/proxy/src/main/java/amberhoist/cli/Cli.java
+++ b/proxy/src/main/java/amberhoist/cli/Cli.java
@@ -12,12 +12,13 @@
 
 /** The command tree. */
 @Command(name = "amberhoist", mixinStandardHelpOptions = true, versionProvider = Cli.Version.class,
-    description = "A proxy for long-lived connections that places and moves them.",
+    description = "A load-balancing proxy for long-lived connections.",
     synopsisSubcommandLabel = "COMMAND", exitCodeListHeading = "%nExit codes:%n",
-    exitCodeList = {"0:done", "1:a fault: a bad configuration, nobody answers, a claim that fell",
-        "2:wrong usage"}, scope = CommandLine.ScopeType.INHERIT)
+    exitCodeList = {"0:success",
+        "1:failure, such as an invalid configuration, an instance that does not answer, a check that failed",
+        "2:usage error"}, scope = CommandLine.ScopeType.INHERIT)
 final class Cli implements Runnable {
-  /** The version as the build put it into the jar. */
+  /** The version from the manifest of the jar. */
   static final class Version implements IVersionProvider {
     @Override
     public String[] getVersion() {
@@ -43,8 +44,8 @@
     throw new ParameterException(spec.commandLine(), "no command given");
   }
 
-  /** The tree, with what other modules bring to it. */
-  static CommandLine tree() {
+  /** The command tree, including the commands of other modules. */
+  static CommandLine commandLine() {
     CommandLine tree = new CommandLine(new Cli())
         .addSubcommand(new ServeCommand())
         .addSubcommand(new DrillCommand())
@@ -55,16 +56,16 @@
     for (Extension extension : ServiceLoader.load(Extension.class)) {
       tree.addSubcommand(extension.command());
     }
-    tree.setCaseInsensitiveEnumValuesAllowed(true); // of all commands that are there by now
+    tree.setCaseInsensitiveEnumValuesAllowed(true); // applies to the commands added so far
     return tree.setExecutionExceptionHandler((fault, command, parsed) -> {
       command.getErr().println(fault.getMessage() == null ? fault.toString() : fault.getMessage());
       return 1;
     });
   }
 
-  /** Runs a command and exits with its status, but for a command that goes on serving. */
+  /** Runs a command and exits with its status, unless the command keeps the process running. */
   static void run(String[] args) {
-    int status = tree().execute(args);
+    int status = commandLine().execute(args);
     if (status != ServeCommand.SERVES) {
       System.exit(status);
     }
--- a/proxy/src/main/java/amberhoist/cli/ConfigCommand.java
+++ b/proxy/src/main/java/amberhoist/cli/ConfigCommand.java
@@ -25,38 +25,38 @@
 
   @Override
   public void run() {
-    throw new ParameterException(spec.commandLine(), "say which: check, show or reference");
+    throw new ParameterException(spec.commandLine(), "missing subcommand: check, show or reference");
   }
 
-  private static int tell(List<Problem> problems) {
+  private static int printProblems(List<Problem> problems) {
     problems.forEach(System.err::println);
     return problems.isEmpty() ? 0 : 1;
   }
 
-  /** Checks files. */
-  @Command(name = "check", description = "Checks operator's files, each by itself; tells all that is wrong at once.")
+  /** Checks operator's files for errors. */
+  @Command(name = "check", description = "Checks operator's files, each on its own, and prints all errors.")
   int check(@Parameters(paramLabel = "FILE", arity = "1..*", description = "operator's files") List<Path> files) {
     int status = 0;
     for (Path file : files) {
       Reading reading = Setup.read(new Sources(file, Map.of(), Map.of()), false);
-      status = Math.max(status, tell(reading.problems()));
+      status = Math.max(status, printProblems(reading.problems()));
       if (reading.problems().isEmpty()) {
-        System.out.println(file + ": good");
+        System.out.println(file + ": valid");
       }
     }
     return status;
   }
 
-  /** Shows what holds. */
-  @Command(name = "show", description = "Prints the effective value of each key, and where it comes from.")
+  /** Prints the effective configuration. */
+  @Command(name = "show", description = "Prints the effective value of each key and its source.")
   int show(@Mixin SourceOptions options) {
     Reading reading = Setup.read(options.sources(), false);
     System.out.print(Reference.show(reading));
-    return tell(reading.problems());
+    return printProblems(reading.problems());
   }
 
-  /** What the reference is to hold. */
-  static final class Kind {
+  /** The kind of reference to print. */
+  static final class ReferenceKind {
     @Option(names = "--toml", description = "an operator's file with every key at its default")
     private boolean toml;
 
@@ -64,9 +64,9 @@
     private boolean events;
   }
 
-  /** Prints the pages. */
-  @Command(name = "reference", description = "Prints the reference page of keys, made from the code.")
-  int reference(@ArgGroup Kind kind) {
+  /** Prints the reference pages. */
+  @Command(name = "reference", description = "Prints the reference page of keys, generated from the code.")
+  int reference(@ArgGroup ReferenceKind kind) {
     if (kind != null && kind.toml) {
       System.out.print(Reference.example());
     } else {
--- a/proxy/src/main/java/amberhoist/cli/DrillCommand.java
+++ b/proxy/src/main/java/amberhoist/cli/DrillCommand.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** The adapter to the simulator. */
-@Command(name = "drill", description = "Speaks the simulator's wire on standard input and output.")
+/** Runs the adapter to the simulator. */
+@Command(name = "drill", description = "Speaks the simulator's protocol on standard input and output.")
 final class DrillCommand implements Callable<Integer> {
   @Override
   public Integer call() {
--- a/proxy/src/main/java/amberhoist/cli/Extension.java
+++ b/proxy/src/main/java/amberhoist/cli/Extension.java
@@ -1,7 +1,7 @@
 package amberhoist.cli;
 
-/** A command that another module brings; found by {@link java.util.ServiceLoader}. */
+/** A subcommand provided by another module; found through {@link java.util.ServiceLoader}. */
 public interface Extension {
-  /** An object annotated as a picocli command. */
+  /** The command: an object annotated as a picocli command. */
   Object command();
 }
--- a/proxy/src/main/java/amberhoist/cli/Main.java
+++ b/proxy/src/main/java/amberhoist/cli/Main.java
@@ -3,13 +3,13 @@
 import amberhoist.config.Setup.Sources;
 
 /**
- * The entry of the program. The two commands of a deployment, {@code serve} and {@code drill} without options, take
- * a short way that loads nothing of the command tree: with part of a core that would cost them a tenth of a second.
+ * The entry point. The two commands of a deployment, {@code serve} and {@code drill} without options, bypass picocli:
+ * loading the command tree would cost them a tenth of a second on a fraction of a core.
  */
 public final class Main {
   private Main() {}
 
-  /** Runs a subcommand; exits with 2 on wrong usage, 1 on a fault, else 0. */
+  /** Runs a subcommand; exits with 2 on a usage error, 1 on a failure, else 0. */
   public static void main(String[] args) {
     if (args.length == 1 && args[0].equals("serve")) {
       Serving.serve(Sources.of(System.getenv()));
--- a/proxy/src/main/java/amberhoist/cli/Rehearsal.java
+++ b/proxy/src/main/java/amberhoist/cli/Rehearsal.java
@@ -17,49 +17,52 @@
 import java.util.Map;
 
 /**
- * A short life of the proxy on loopback, run once by the build so that the JVM can archive the classes it
- * loads. Guards against slow restarts: with part of a core, half of the start went into loading classes, and
- * while proxies are restarted in turn clients wait for the one that starts.
+ * A short run of the proxy on loopback, during which the build lets the JVM archive the loaded classes (class data
+ * sharing). Without the archive, half of the startup time on a fraction of a core goes into loading classes, and during
+ * a rolling restart clients wait for the proxy that starts.
  */
 final class Rehearsal {
   private Rehearsal() {}
 
-  /** Runs it as a process, with log and signals as {@code serve} has them. */
+  /** Runs as a process, with the same log and signal handling as {@code serve}. */
   static void main(String file) {
     EventLog.choose(LogSettings.DEFAULT.format());
-    EventLog.redirect(LogSettings.DEFAULT.queue(), new EventLog("rehearsal", LogSettings.DEFAULT));
+    EventLog.redirect(LogSettings.DEFAULT.queue(), new EventLog("training", LogSettings.DEFAULT));
     Signals.onHangup(() -> {});
     try {
       run(file);
     } catch (BadConfig | IOException fault) {
-      System.err.println("rehearsal: " + fault.getMessage());
+      System.err.println("training run: " + fault.getMessage());
       EventLog.flush();
       System.exit(1);
     }
     EventLog.flush();
   }
 
-  /** Serves a PING and one invocation, which no provider answers, by this configuration; then stops. */
+  /**
+   * Starts a proxy with this configuration, sends it a PING, an invocation that no provider answers and management
+   * requests, then stops it.
+   */
   static void run(String file) throws BadConfig, IOException {
     Map<String, String> environment = Map.of("LB_CONFIG", file, "LB_LISTEN", "127.0.0.1:0",
         "LB_DISCOVERY", "127.0.0.1:1", "LB_MGMT", "127.0.0.1:0");
     Service service = Service.start(Config.load(environment, new Clock()));
     try (Socket client = new Socket(InetAddress.getLoopbackAddress(), service.address().getPort())) {
       client.setSoTimeout(10_000);
-      BufferedReader answers = new BufferedReader(
+      BufferedReader responses = new BufferedReader(
           new InputStreamReader(client.getInputStream(), StandardCharsets.ISO_8859_1));
       client.getOutputStream().write("PING\r\n".getBytes(StandardCharsets.ISO_8859_1));
-      System.err.println("rehearsal: " + answers.readLine());
+      System.err.println("training run: " + responses.readLine());
       client.getOutputStream().write("OPEN 1 1 c=scan-tiles,t=acme,d=200,g=1\r\n"
           .getBytes(StandardCharsets.ISO_8859_1));
-      System.err.println("rehearsal: " + answers.readLine());
+      System.err.println("training run: " + responses.readLine());
     }
     for (String path : List.of("/v1/readyz", "/v1/metrics")) {
       try (Socket operator = new Socket(InetAddress.getLoopbackAddress(), service.doorAddress().getPort())) {
         operator.setSoTimeout(10_000);
         operator.getOutputStream().write(("GET " + path + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
-        String answer = new String(operator.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
-        System.err.println("rehearsal: " + answer.lines().findFirst().orElse("no answer"));
+        String response = new String(operator.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+        System.err.println("training run: " + response.lines().findFirst().orElse("no response"));
       }
     }
     service.reload(environment);
--- a/proxy/src/main/java/amberhoist/cli/ServeCommand.java
+++ b/proxy/src/main/java/amberhoist/cli/ServeCommand.java
@@ -4,10 +4,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Serves. */
-@Command(name = "serve", description = "Runs a proxy until SIGTERM. SIGHUP reads the configuration again.")
+/** Runs a proxy. */
+@Command(name = "serve", description = "Runs a proxy until SIGTERM. SIGHUP reloads the configuration.")
 final class ServeCommand implements Callable<Integer> {
-  /** The process goes on when this is returned. */
+  /** Returned in place of an exit status: the process keeps running. */
   static final int SERVES = -1;
 
   @Mixin
--- a/proxy/src/main/java/amberhoist/cli/Serving.java
+++ b/proxy/src/main/java/amberhoist/cli/Serving.java
@@ -12,15 +12,16 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Runs a proxy as a process: configuration, log, signals. A signal that comes while it starts waits for the end of the
- * start: a proxy that answers already must not end, or miss new settings, as if it were not there yet.
+ * Runs a proxy as a process, with its configuration, log and signal handlers. A signal that arrives during startup is
+ * handled when startup has ended: by then the proxy may already accept connections, so that it has to drain on SIGTERM
+ * and must not miss a reload.
  */
 final class Serving {
   private Serving() {}
 
-  /** Serves until the process is told to end; a configuration that cannot be used exits with status 1. */
+  /** Starts a proxy that runs until the process is terminated; exits with status 1 if it cannot start. */
   static void serve(Sources sources) {
-    CompletableFuture<Optional<Service>> started = new CompletableFuture<>(); // empty when it cannot start
+    CompletableFuture<Optional<Service>> started = new CompletableFuture<>(); // empty if startup failed
     Signals.onHangup(() -> started.join().ifPresent(service -> service.reload(sources)));
     Runtime.getRuntime().addShutdownHook(new Thread(() -> started.join().ifPresent(service -> {
       service.stop();
@@ -41,7 +42,7 @@
       System.err.flush();
       EventLog.flush();
     } finally {
-      started.complete(Optional.empty()); // before any exit: that waits for who waits for this
+      started.complete(Optional.empty()); // before exit, which waits for the shutdown hook, which waits for this
     }
     System.exit(1);
   }
--- a/proxy/src/main/java/amberhoist/cli/SourceOptions.java
+++ b/proxy/src/main/java/amberhoist/cli/SourceOptions.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import picocli.CommandLine.Option;
 
-/** The options that say where the configuration is. */
+/** The options that select the sources of the configuration. */
 final class SourceOptions {
   @Option(names = "--config", paramLabel = "FILE", description = "the operator's file; also AMBERHOIST_CONFIG")
   Path config;
@@ -17,16 +17,16 @@
   @Option(names = "--name", paramLabel = "NAME", description = "name of the instance; also LB_NAME")
   String name;
 
-  @Option(names = "--listen", paramLabel = "ADDRESS", description = "where clients connect; also LB_LISTEN")
+  @Option(names = "--listen", paramLabel = "ADDRESS", description = "address for clients; also LB_LISTEN")
   String listen;
 
-  @Option(names = "--directory", paramLabel = "ADDRESS", description = "the directory; also LB_DISCOVERY")
+  @Option(names = "--directory", paramLabel = "ADDRESS", description = "address of the directory; also LB_DISCOVERY")
   String directory;
 
   @Option(names = "--set", paramLabel = "KEY=VALUE", description = "any key of the operator's file; repeatable")
   Map<String, String> keys = new LinkedHashMap<>();
 
-  /** All sources: these options and the environment. */
+  /** The sources: these options and the environment. */
   Sources sources() {
     Map<String, String> flags = new LinkedHashMap<>(keys);
     put(flags, "instance.platform", platform);
--- a/proxy/src/main/java/amberhoist/cli/StatusCommand.java
+++ b/proxy/src/main/java/amberhoist/cli/StatusCommand.java
@@ -15,8 +15,8 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Asks a running instance. */
-@Command(name = "status", description = {"Asks a running instance through its admin socket.",
+/** Prints the status of a running instance. */
+@Command(name = "status", description = {"Prints the status of a running instance, from its admin socket.",
     "The socket is taken from --admin, or from admin.listen of the configuration."})
 final class StatusCommand implements Callable<Integer> {
   @Spec
@@ -28,10 +28,10 @@
   @Option(names = "--admin", paramLabel = "ADDRESS", description = "unix:/path or a loopback address")
   private String admin;
 
-  @Option(names = "--json", description = "the whole answer as JSON")
+  @Option(names = "--json", description = "print the status as JSON")
   private boolean json;
 
-  @Option(names = "--metrics", description = "Prometheus' text")
+  @Option(names = "--metrics", description = "print the metrics in the Prometheus text format")
   private boolean metrics;
 
   @Override
@@ -44,20 +44,20 @@
       throw new ParameterException(spec.commandLine(), "--admin: " + fault.getMessage(), fault);
     }
     if (address == null) {
-      throw new ParameterException(spec.commandLine(), "no admin socket is set: give --admin or admin.listen");
+      throw new ParameterException(spec.commandLine(), "no admin socket configured: set --admin or admin.listen");
     }
-    String answer;
+    String response;
     try {
-      answer = AdminClient.ask(address, metrics ? "/metrics" : "/status");
+      response = AdminClient.ask(address, metrics ? "/metrics" : "/status");
     } catch (IOException fault) {
-      throw new IOException("nobody answers on " + text + ": " + fault.getMessage(), fault);
+      throw new IOException("no answer from " + text + ": " + fault.getMessage(), fault);
     }
-    System.out.print(json || metrics ? answer : plain(new ObjectMapper().readValue(answer, Status.class)));
+    System.out.print(json || metrics ? response : toPlainText(new ObjectMapper().readValue(response, Status.class)));
     return 0;
   }
 
-  /** A status for people. */
-  static String plain(Status status) {
+  /** The status as plain text. */
+  static String toPlainText(Status status) {
     StringBuilder out = new StringBuilder();
     out.append(String.format("%s %s, %s on %s for %.1f s, directory %s%n", status.name(), status.version(),
         status.state(), status.listen(), status.uptimeMs() / 1000.0, status.directory()));
@@ -69,8 +69,8 @@
     status.providers().forEach(provider -> out.append(String.format("%-20s %-12s %-10s %-22s %8d%n",
         provider.name(), provider.zone(), provider.state(), provider.address(), provider.standing())));
     out.append(String.format("%n%-14s %10s %10s %10s %10s%n", "micros", "count", "p50", "p99", "max"));
-    status.latencies().forEach((span, of) -> out.append(String.format("%-14s %10d %10d %10d %10d%n", span,
-        of.count(), of.p50(), of.p99(), of.max())));
+    status.latencies().forEach((span, latency) -> out.append(String.format("%-14s %10d %10d %10d %10d%n", span,
+        latency.count(), latency.p50(), latency.p99(), latency.max())));
     out.append('\n');
     status.counters().forEach((name, count) -> out.append(String.format("%-22s %12d%n", name, count)));
     out.append(String.format("%-22s %12d%n%-22s %12d%n", "log_suppressed", status.log().suppressed(),
