--- a/proxy/src/test/java/amberhoist/core/CrossingsTest.java
+++ b/proxy/src/test/java/amberhoist/core/CrossingsTest.java
@@ -20,26 +20,26 @@
 import org.junit.Test;
 
 /**
- * What crosses on the way: the core with the real module, and events in an order that sockets bring about once in a
- * thousand days. Each crossing is played in both orders.
+ * The core with the real decision module, for events that meet in an order that sockets produce about once in a
+ * thousand days. Where the order matters, both orders are tested.
  */
 public class CrossingsTest {
-  private static final long MS = 1000;
-  private static final long WINDOW = 400 * MS;
+  private static final long MILLIS = 1000;
+  private static final long WINDOW_MICROS = 400 * MILLIS;
 
-  private final List<String> said = new ArrayList<>(); // commands, as "dial p0", "forward 1", "fail 7"
+  private final List<String> commandLog = new ArrayList<>(); // such as "dial p0", "forward 1", "fail 7"
   private final Commands commands = new Commands() {
-    private long connections;
+    private long lastConnection;
 
     @Override
     public long dial(long invocation, long client, String provider) {
-      said.add("dial " + provider);
-      return ++connections;
+      commandLog.add("dial " + provider);
+      return ++lastConnection;
     }
 
     @Override
     public void forward(long provider, long millis) {
-      said.add("forward " + provider);
+      commandLog.add("forward " + provider);
     }
 
     @Override
@@ -47,22 +47,22 @@
 
     @Override
     public void join(long client, long provider) {
-      said.add("join " + client);
+      commandLog.add("join " + client);
     }
 
     @Override
     public void reject(long client, long retryAfter) {
-      said.add("reject " + client);
+      commandLog.add("reject " + client);
     }
 
     @Override
     public void fail(long client) {
-      said.add("fail " + client);
+      commandLog.add("fail " + client);
     }
 
     @Override
     public void move(long client) {
-      said.add("move " + client);
+      commandLog.add("move " + client);
     }
 
     @Override
@@ -75,221 +75,233 @@
     public void log(String message) {}
   };
   private long now = 1_000_000_000;
-  private final Wheel wheel = new Wheel(4 * MS, now);
+  private final Wheel wheel = new Wheel(4 * MILLIS, now);
   private final Counters counters = new Counters();
   private final Core core = new Core(new Policy(), wheel, commands, counters,
-      new Limits(250 * MS, 3000 * MS, Set.of(), Set.of()), Timing.DEFAULT, Telemetry.NONE);
+      new Limits(250 * MILLIS, 3000 * MILLIS, Set.of(), Set.of()), Timing.DEFAULT, Telemetry.NONE);
 
-  private void start(Effect effect, int providers) {
-    RequestClass type = new RequestClass("c", effect, Scope.ALL, 300 * MS, WINDOW, 1, 100 * MS);
+  private void start(Effect effect, int providerCount) {
+    RequestClass type = new RequestClass("c", effect, Scope.ALL, 300 * MILLIS, WINDOW_MICROS, 1, 100 * MILLIS);
     List<Server> known = new ArrayList<>();
-    for (int i = 0; i < providers; i++) {
+    for (int i = 0; i < providerCount; i++) {
       known.add(server(i, State.READY));
     }
-    core.start(now, new Settings("z", 0, 2, List.of(type), false, 10_000 * MS, 4, 600 * MS, 0, 0, 0.3, 9000 * MS, 2.5,
-        3000 * MS, Value.NONE, false), 7, known);
+    core.start(now, new Settings("z", 0, 2, List.of(type), false, 10_000 * MILLIS, 4, 600 * MILLIS, 0, 0, 0.3,
+        9000 * MILLIS, 2.5, 3000 * MILLIS, Value.NONE, false), 7, known);
   }
 
-  private static Server server(int number, State state) {
-    return new Server("p" + number, "z", "k", 0, state, 1, 0);
+  private static Server server(int index, State state) {
+    return new Server("p" + index, "z", "k", 0, state, 1, 0);
   }
 
-  /** A request of this client, which waits so long; the number of its invocation. */
-  private long request(long client, long wait) {
-    return core.invocation(now, client, new Arrival("c", null, "k" + client, null, wait / MS, 0, false, false, null));
+  /** Submits a request of a client that waits for {@code waitMicros}; returns the id of its invocation. */
+  private long request(long client, long waitMicros) {
+    return core.invocation(now, client,
+        new Arrival("c", null, "k" + client, null, waitMicros / MILLIS, 0, false, false, null));
   }
 
-  /** Lets time pass, tick by tick. */
+  /** Advances the clock in ticks of 4 ms. */
   private void pass(long micros) {
     for (long end = now + micros; now < end;) {
-      now = Math.min(end, now + 4 * MS);
+      now = Math.min(end, now + 4 * MILLIS);
       wheel.advance(now);
     }
   }
 
-  private long count(String what) {
-    return said.stream().filter(line -> line.startsWith(what)).count();
+  /** Number of commands whose text starts with {@code prefix}. */
+  private long count(String prefix) {
+    return commandLog.stream().filter(line -> line.startsWith(prefix)).count();
   }
 
-  /** The provider that was dialled last. */
-  private int dialled() {
-    return said.stream().filter(line -> line.startsWith("dial p")).reduce((a, b) -> b)
+  /** Index of the provider of the last connection attempt. */
+  private int lastProvider() {
+    return commandLog.stream().filter(line -> line.startsWith("dial p")).reduce((a, b) -> b)
         .map(line -> Integer.parseInt(line.substring(6))).orElseThrow();
   }
 
-  /** Failure met by reading: bytes long with the provider, and the attempt was taken for one that never ran. */
+  /**
+   * Prevents an attempt from being taken for one that never ran when the connection is reset before the completion of
+   * the write is reported: the line may have reached the provider long before.
+   */
   @Test
-  public void aResetAheadOfTheWritesCompletionIsNoProofThatNothingRan() {
+  public void resetBeforeWriteCompletionDoesNotProveThatNothingRan() {
     for (boolean completionFirst : new boolean[] {true, false}) {
-      CrossingsTest world = new CrossingsTest();
-      world.start(Effect.UNSAFE, 3);
-      long number = world.request(7, 2000 * MS);
-      world.core.connected(world.now, number, 1);
+      CrossingsTest fixture = new CrossingsTest();
+      fixture.start(Effect.UNSAFE, 3);
+      long invocation = fixture.request(7, 2000 * MILLIS);
+      fixture.core.connected(fixture.now, invocation, 1);
       if (completionFirst) {
-        world.core.written(world.now, number, 1);
+        fixture.core.written(fixture.now, invocation, 1);
       }
-      world.core.callEnded(world.now, number, 1, Outcome.RESET);
-      world.core.written(world.now, number, 1);
-      world.pass(2000 * MS);
-      assertEquals("tried once", 1, world.count("dial"));
-      assertEquals("failed, not rejected as harmless", 1, world.count("fail 7"));
+      fixture.core.callEnded(fixture.now, invocation, 1, Outcome.RESET);
+      fixture.core.written(fixture.now, invocation, 1);
+      fixture.pass(2000 * MILLIS);
+      assertEquals("one attempt", 1, fixture.count("dial"));
+      assertEquals("failed, not rejected as safe to retry", 1, fixture.count("fail 7"));
     }
   }
 
   @Test
-  public void aConnectionThatBreaksBeforeTheLineIsForwardedHarmsNobody() {
+  public void connectionThatEndsBeforeTheLineIsForwardedIsRetriedAtOnce() {
     start(Effect.UNSAFE, 3);
-    long number = request(7, 2000 * MS);
-    core.callEnded(now, number, 1, Outcome.RESET);
-    assertEquals("another one at once", 2, count("dial"));
-    core.connected(now, number, 2);
+    long invocation = request(7, 2000 * MILLIS);
+    core.callEnded(now, invocation, 1, Outcome.RESET);
+    assertEquals("another attempt at once", 2, count("dial"));
+    core.connected(now, invocation, 2);
     assertEquals(1, count("forward"));
   }
 
-  /** Both timers of an attempt may fire in the tick ahead of the completion. */
+  /** Both timers of an attempt may fire in the tick before the completion of the write is reported. */
   @Test
-  public void theTimersAheadOfTheWritesCompletionAreNoProofEither() {
+  public void timeoutsBeforeWriteCompletionDoNotProveThatNothingRan() {
     for (boolean completionFirst : new boolean[] {true, false}) {
-      CrossingsTest world = new CrossingsTest();
-      world.start(Effect.UNSAFE, 3);
-      long number = world.request(7, 2000 * MS);
-      world.pass(240 * MS);
-      world.core.connected(world.now, number, 1);
+      CrossingsTest fixture = new CrossingsTest();
+      fixture.start(Effect.UNSAFE, 3);
+      long invocation = fixture.request(7, 2000 * MILLIS);
+      fixture.pass(240 * MILLIS);
+      fixture.core.connected(fixture.now, invocation, 1);
       if (completionFirst) {
-        world.core.written(world.now, number, 1);
+        fixture.core.written(fixture.now, invocation, 1);
       }
-      world.pass(20 * MS); // over the time in which the connection must stand
-      assertEquals("it stands", 1, world.count("dial"));
-      world.pass(2000 * MS);
-      assertEquals(1, world.count("dial"));
-      assertEquals(0, world.count("reject"));
-      assertEquals(1, world.count("fail 7"));
+      fixture.pass(20 * MILLIS); // past the connect timeout
+      assertEquals("the connection is kept", 1, fixture.count("dial"));
+      fixture.pass(2000 * MILLIS);
+      assertEquals(1, fixture.count("dial"));
+      assertEquals(0, fixture.count("reject"));
+      assertEquals(1, fixture.count("fail 7"));
     }
   }
 
-  /** Failure met by reading: a connection that comes up after the news got the line, past a short drain limit. */
+  /**
+   * Prevents a line from being sent to a provider that began to drain while the connection was being made: the line
+   * then arrived past a short drain limit.
+   */
   @Test
-  public void newsBetweenDialAndConnectionKeepsTheLineBack() {
+  public void drainBetweenConnectAndConnectedPreventsForwarding() {
     start(Effect.SAFE, 2);
-    long number = request(7, 2000 * MS);
-    int first = dialled();
+    long invocation = request(7, 2000 * MILLIS);
+    int first = lastProvider();
     core.directory(now, ListKind.CHANGES, List.of(server(first, State.DRAINING)));
-    core.connected(now, number, 1);
-    assertEquals("nothing new there", 0, count("forward"));
-    assertEquals("the other one is tried at once", 1 - first, dialled());
-    core.connected(now, number, 2);
-    assertEquals(List.of("forward 2"), said.stream().filter(line -> line.startsWith("forward")).toList());
+    core.connected(now, invocation, 1);
+    assertEquals("nothing new to the draining provider", 0, count("forward"));
+    assertEquals("the other provider is tried at once", 1 - first, lastProvider());
+    core.connected(now, invocation, 2);
+    assertEquals(List.of("forward 2"), commandLog.stream().filter(line -> line.startsWith("forward")).toList());
     core.directory(now, ListKind.CHANGES, List.of(server(1 - first, State.DRAINING)));
-    core.up(now, number, 2);
-    assertEquals("what was sent before the news stands", 1, count("join 7"));
+    core.up(now, invocation, 2);
+    assertEquals("an attempt sent before the update goes on", 1, count("join 7"));
   }
 
   @Test
-  public void aProviderTakenOutBetweenDialAndConnectionGetsNoLine() {
+  public void suspensionBetweenConnectAndConnectedPreventsForwarding() {
     start(Effect.SAFE, 2);
-    long number = request(7, 2000 * MS);
-    int first = dialled();
+    long invocation = request(7, 2000 * MILLIS);
+    int first = lastProvider();
     core.suspend(now, Set.of("p" + first));
-    core.connected(now, number, 1);
+    core.connected(now, invocation, 1);
     assertEquals(0, count("forward"));
-    assertEquals(1 - first, dialled());
+    assertEquals(1 - first, lastProvider());
   }
 
-  /** Failure met by reading: the window was looked at when an attempt was decided on, not when its line arrives. */
+  /**
+   * Prevents a retry from reaching a provider after the window in which repeats are dropped: the window must be
+   * checked when the line is sent, not when the attempt is decided on.
+   */
   @Test
-  public void aRepeatWhoseConnectionComesUpAfterTheWindowIsNotSent() {
-    for (boolean inTime : new boolean[] {true, false}) {
-      CrossingsTest world = new CrossingsTest();
-      world.start(Effect.KEYED, 3);
-      long number = world.request(7, 2000 * MS);
-      world.core.connected(world.now, number, 1);
-      world.pass(WINDOW - 200 * MS);
-      world.core.callEnded(world.now, number, 1, Outcome.RESET);
-      assertEquals("repeats are dropped everywhere", 2, world.count("dial"));
-      world.pass(inTime ? 100 * MS : 180 * MS); // the line would arrive some milliseconds later still
-      world.core.connected(world.now, number, 2);
-      assertEquals(inTime ? 2 : 1, world.count("forward"));
-      world.pass(2000 * MS);
-      assertEquals("it may have run, and repeats are dropped no longer", 1, world.count("fail 7"));
+  public void retryWhoseConnectionIsReadyAfterTheWindowIsNotSent() {
+    for (boolean inWindow : new boolean[] {true, false}) {
+      CrossingsTest fixture = new CrossingsTest();
+      fixture.start(Effect.KEYED, 3);
+      long invocation = fixture.request(7, 2000 * MILLIS);
+      fixture.core.connected(fixture.now, invocation, 1);
+      fixture.pass(WINDOW_MICROS - 200 * MILLIS);
+      fixture.core.callEnded(fixture.now, invocation, 1, Outcome.RESET);
+      assertEquals("repeats are dropped by all providers", 2, fixture.count("dial"));
+      fixture.pass(inWindow ? 100 * MILLIS : 180 * MILLIS); // the line would arrive a few milliseconds later still
+      fixture.core.connected(fixture.now, invocation, 2);
+      assertEquals(inWindow ? 2 : 1, fixture.count("forward"));
+      fixture.pass(2000 * MILLIS);
+      assertEquals("may have run, and repeats are no longer dropped", 1, fixture.count("fail 7"));
     }
   }
 
-  /** Failure met by reading: at the end of a stop all that was owed was rejected, as if nothing could have run. */
+  /** Prevents the end of a stop from rejecting all pending invocations as if none of them could have run. */
   @Test
-  public void theEndOfAStopRejectsOnlyWhatCannotHaveRun() {
+  public void endOfStopFailsInvocationsThatMayHaveRun() {
     start(Effect.UNSAFE, 9);
-    long sent = request(1, 9000 * MS);
+    long sent = request(1, 9000 * MILLIS);
     core.connected(now, sent, 1);
     boolean[] stopped = new boolean[1];
     core.stop(now, false, () -> stopped[0] = true);
-    pass(400 * MS); // still served
-    long late = request(2, 9000 * MS);
+    pass(400 * MILLIS); // new requests are still served
+    long late = request(2, 9000 * MILLIS);
     core.connected(now, late, 2);
-    pass(2700 * MS);
-    assertEquals("they may have run", 0, count("reject"));
-    pass(200 * MS);
-    assertEquals(List.of("fail 1", "fail 2"), said.stream().filter(line -> line.startsWith("fail")).sorted().toList());
+    pass(2700 * MILLIS);
+    assertEquals("both may have run", 0, count("reject"));
+    pass(200 * MILLIS);
+    assertEquals(List.of("fail 1", "fail 2"),
+        commandLog.stream().filter(line -> line.startsWith("fail")).sorted().toList());
     assertTrue(stopped[0]);
     assertEquals(0, core.size());
   }
 
   @Test
-  public void theEndOfAStopStartsNothingAndAnswersWhatNeverRan() {
+  public void endOfStopStartsNoAttemptsAndRejectsInvocationsThatNeverRan() {
     start(Effect.UNSAFE, 9);
     core.stop(now, false, () -> { });
-    pass(430 * MS);
-    request(3, 9000 * MS);
-    int tries = 0;
-    while (count("reject 3") == 0 && tries++ < 20) { // no connection ever stands
-      pass(200 * MS);
+    pass(430 * MILLIS);
+    request(3, 9000 * MILLIS);
+    int rounds = 0;
+    while (count("reject 3") == 0 && rounds++ < 20) { // no connection is ever established
+      pass(200 * MILLIS);
     }
-    assertEquals("tried anew while there was time", 1, count("reject 3"));
-    long dials = count("dial");
-    pass(1000 * MS);
-    assertEquals(dials, count("dial"));
+    assertEquals("retried while there was time, then rejected", 1, count("reject 3"));
+    long attempts = count("dial");
+    pass(1000 * MILLIS);
+    assertEquals(attempts, count("dial"));
     assertEquals(0, count("forward"));
     assertEquals(0, core.size());
   }
 
   @Test
-  public void upAndTheDeadlineMeetInEitherOrder() {
+  public void upAndDeadlineInEitherOrderGiveOneAnswer() {
     for (boolean upFirst : new boolean[] {true, false}) {
-      CrossingsTest world = new CrossingsTest();
-      world.start(Effect.SAFE, 1);
-      long number = world.request(7, 400 * MS);
-      world.core.connected(world.now, number, 1);
-      world.pass(250 * MS);
+      CrossingsTest fixture = new CrossingsTest();
+      fixture.start(Effect.SAFE, 1);
+      long invocation = fixture.request(7, 400 * MILLIS);
+      fixture.core.connected(fixture.now, invocation, 1);
+      fixture.pass(250 * MILLIS);
       if (upFirst) {
-        world.core.up(world.now, number, 1);
+        fixture.core.up(fixture.now, invocation, 1);
       }
-      world.pass(250 * MS); // over the deadline
-      world.core.up(world.now, number, 1); // again, or too late
-      assertEquals("one or the other", upFirst ? 1 : 0, world.count("join 7"));
-      assertEquals(upFirst ? 0 : 1, world.count("reject 7"));
-      assertEquals(0, world.count("fail"));
-      assertEquals("nothing broken", 0, world.counters.get(Counters.Count.BROKEN_INVARIANTS));
+      fixture.pass(250 * MILLIS); // past the deadline
+      fixture.core.up(fixture.now, invocation, 1); // again, or too late
+      assertEquals("relayed or rejected, not both", upFirst ? 1 : 0, fixture.count("join 7"));
+      assertEquals(upFirst ? 0 : 1, fixture.count("reject 7"));
+      assertEquals(0, fixture.count("fail"));
+      assertEquals("no broken invariants", 0, fixture.counters.get(Counters.Count.BROKEN_INVARIANTS));
     }
   }
 
   @Test
-  public void upAndTheClientsLeaveMeetInEitherOrder() {
+  public void upAndClientDisconnectInEitherOrderGiveNoAnswer() {
     for (boolean upFirst : new boolean[] {true, false}) {
-      CrossingsTest world = new CrossingsTest();
-      world.start(Effect.UNSAFE, 2);
-      long number = world.request(7, 2000 * MS);
-      world.core.connected(world.now, number, 1);
+      CrossingsTest fixture = new CrossingsTest();
+      fixture.start(Effect.UNSAFE, 2);
+      long invocation = fixture.request(7, 2000 * MILLIS);
+      fixture.core.connected(fixture.now, invocation, 1);
       if (upFirst) {
-        world.core.up(world.now, number, 1);
+        fixture.core.up(fixture.now, invocation, 1);
       }
-      world.core.clientLeft(world.now, number);
-      world.core.up(world.now, number, 1);
-      world.core.callEnded(world.now, number, 1, Outcome.RESET);
-      world.core.ended(world.now, number, 1, Outcome.SERVED);
-      world.pass(3000 * MS);
-      assertEquals(upFirst ? 1 : 0, world.count("join"));
-      assertEquals("nobody is there to be answered", 0, world.count("reject") + world.count("fail"));
-      assertEquals("and nothing is tried for nobody", 1, world.count("dial"));
-      assertEquals(0, world.core.size());
+      fixture.core.clientLeft(fixture.now, invocation);
+      fixture.core.up(fixture.now, invocation, 1);
+      fixture.core.callEnded(fixture.now, invocation, 1, Outcome.RESET);
+      fixture.core.ended(fixture.now, invocation, 1, Outcome.SERVED);
+      fixture.pass(3000 * MILLIS);
+      assertEquals(upFirst ? 1 : 0, fixture.count("join"));
+      assertEquals("no answer to a disconnected client", 0, fixture.count("reject") + fixture.count("fail"));
+      assertEquals("no further attempt for it", 1, fixture.count("dial"));
+      assertEquals(0, fixture.core.size());
     }
   }
 }
