--- a/proxy/src/test/java/amberhoist/decide/Bench.java
+++ b/proxy/src/test/java/amberhoist/decide/Bench.java
@@ -13,12 +13,26 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A balancer with recorded actions and a clock set by hand. */
+/**
+ * Test harness for one balancer: records the actions that the balancer requests, under a clock that the test advances
+ * by hand. All times are in microseconds.
+ */
 final class Bench implements Balancer.Actions {
+  /** One millisecond, in microseconds. */
   static final long MS = 1000;
+
+  /** One second, in microseconds. */
   static final long S = 1_000_000;
 
-  /** One recorded action; {@code amount} is the time-out, the advice or the due time. */
+  /**
+   * One recorded action.
+   *
+   * @param what the name of the method that was called
+   * @param request the id of the request, 0 if the action concerns none
+   * @param server the server, or the text of a log message; null if the action has neither
+   * @param amount the timeout of a send, the retry-after of a rejection, or the time of a subscription or of a request
+   *     for a load report; 0 if none
+   */
   record Act(String what, long request, String server, long amount) {
     boolean isSend() {
       return what.equals("send");
@@ -30,28 +44,31 @@
   long now = 1000 * S;
   long timerAt = Long.MAX_VALUE;
 
+  /** Settings for two balancers with warm-up limits and no tenant shares. */
   static Settings settings(boolean subscribe, RequestClass... classes) {
     return settings(subscribe, Value.NONE, classes);
   }
 
   static Settings settings(boolean subscribe, Value value, RequestClass... classes) {
-    return new Settings("z", 0, 2, List.of(classes), subscribe, 10 * S, 4, 600 * MS, 0.02, 0.02, 0.3, 9 * S,
-        2.5, 3 * S, value, false);
+    return new Settings("z", 0, 2, List.of(classes), subscribe, 10 * S, 4, 600 * MS, 0.02, 0.02,
+        0.3, 9 * S, 2.5, 3 * S, value, false);
   }
 
+  /** The request class {@code c}: setup within 300 ms, messages within 100 ms, repeats dropped for 5 s. */
   static RequestClass type(Effect effect, Scope scope) {
     return new RequestClass("c", effect, scope, 300 * MS, 5 * S, 1, 100 * MS);
   }
 
+  /** A started balancer for requests that may be repeated at will, with these warm servers. */
   static Bench safe(String... servers) {
     return safe(7, servers);
   }
 
   static Bench safe(long seed, String... servers) {
-    Bench bench = new Bench();
-    bench.balancer.start(bench.now, settings(false, type(Effect.SAFE, Scope.ALL)), seed, bench);
-    bench.full(servers);
-    return bench;
+    Bench harness = new Bench();
+    harness.balancer.start(harness.now, settings(false, type(Effect.SAFE, Scope.ALL)), seed, harness);
+    harness.full(servers);
+    return harness;
   }
 
   void start(Settings settings) {
@@ -66,10 +83,12 @@
     return new Server(name, zone, "k", 0, State.READY, 1, 0);
   }
 
+  /** Replaces the server list. */
   void servers(Server... servers) {
     balancer.members(now, ListKind.FULL, List.of(servers));
   }
 
+  /** Replaces the server list by warm servers of these names, all in the balancer's own zone. */
   void full(String... names) {
     List<Server> list = new ArrayList<>();
     for (String name : names) {
@@ -78,6 +97,7 @@
     balancer.members(now, ListKind.FULL, list);
   }
 
+  /** Sends an update of one server. */
   void change(Server server) {
     balancer.members(now, ListKind.CHANGES, List.of(server));
   }
@@ -86,23 +106,26 @@
     return new Request(id, "c", null, client, deadline, 0, group, false, false);
   }
 
-  /** Brings a request and returns the server it was sent to, or null. */
-  String ask(long id, String client, String group) {
+  /** Submits a request with a deadline in 1.2 s; returns the server that it was sent to, null if not sent yet. */
+  String submit(long id, String client, String group) {
     int before = acts.size();
     balancer.request(now, request(id, client, group, now + 1200 * MS));
     return sentSince(before, id);
   }
 
+  /** Submits a request and reports attempt 0 as established after 10 ms; returns its server, null if not sent. */
   String open(long id, String client, String group) {
-    String server = ask(id, client, group);
+    String server = submit(id, client, group);
     balancer.opened(now, id, 0, 10 * MS);
     return server;
   }
 
-  void fail(long id, int attempt, Outcome outcome) {
+  /** Reports that an attempt failed after 10 ms; an answer is still owed. */
+  void failAttempt(long id, int attempt, Outcome outcome) {
     balancer.ended(now, id, attempt, outcome, 10 * MS, false);
   }
 
+  /** The server of the request's first send from action {@code before} on, or null if there is none. */
   String sentSince(int before, long id) {
     return acts.subList(before, acts.size()).stream()
         .filter(act -> act.what().equals("send") && act.request() == id)
@@ -119,9 +142,9 @@
     return acts.stream().filter(act -> act.what().equals(what) && act.request() == id).count();
   }
 
-  /** Lets time pass, with every timer that falls due. */
-  void pass(long time) {
-    long end = now + time;
+  /** Advances the clock by {@code micros} and runs each timer that falls due. */
+  void pass(long micros) {
+    long end = now + micros;
     while (timerAt <= end) {
       now = timerAt;
       timerAt = Long.MAX_VALUE;
--- a/proxy/src/test/java/amberhoist/decide/DefencesTest.java
+++ b/proxy/src/test/java/amberhoist/decide/DefencesTest.java
@@ -13,63 +13,67 @@
 import amberhoist.decide.Balancer.State;
 import org.junit.jupiter.api.Test;
 
-/** Cold servers of a large fleet. */
+/** Limits on the setups that one balancer sends: to cold servers, and while the shared store is overloaded. */
 class DefencesTest {
-  private static final RequestClass TYPE = Bench.type(Effect.SAFE, Scope.ALL);
+  private static final RequestClass REQUEST_CLASS = Bench.type(Effect.SAFE, Scope.ALL);
 
-  /** A balancer's part of a cold server's budget is far under one connection in the whole cold time. */
+  /**
+   * Prevents a cold server from getting no connections at all: one balancer's share of the warm-up budget is far below
+   * one connection in the whole warm-up time, so each balancer starts with a random part of a connection.
+   */
   @Test
-  void manyBalancersTogetherUseAColdServer() {
+  void balancersWithLessThanOneConnectionOfBudgetTogetherUseAColdServer() {
     int sent = 0;
     for (int seed = 0; seed < 100; seed++) {
-      Bench bench = Bench.safe(seed, "a", "b", "c", "d", "e", "f", "g", "h");
+      Bench harness = Bench.safe(seed, "a", "b", "c", "d", "e", "f", "g", "h");
       for (int second = 0; second < 28; second++) {
         if (second == 20) {
-          bench.change(server("cold", State.READY, bench.now));
+          harness.change(server("cold", State.READY, harness.now));
         }
-        String server = bench.open(second, "x" + second, null);
+        String server = harness.open(second, "x" + second, null);
         sent += "cold".equals(server) ? 1 : 0;
-        bench.pass(S);
-        bench.balancer.ended(bench.now, second, 0, Outcome.SERVED, 0, true);
+        harness.pass(S);
+        harness.balancer.ended(harness.now, second, 0, Outcome.SERVED, 0, true);
       }
     }
-    assertTrue(sent >= 5, "sent " + sent); // none at all is the failure
-    assertTrue(sent <= 2.5 * 100 / 8.0 * 8, "sent " + sent + ", more than what the multiple allows");
+    assertTrue(sent >= 5, "sent " + sent); // a budget rounded down to whole connections would send none
+    assertTrue(sent <= 2.5 * 100 / 8.0 * 8, "sent " + sent + ", more than the cold multiple allows");
   }
 
+  /** Prevents ten servers started at once from getting no more connections together than a single one gets. */
   @Test
-  void manyColdServersDoNotShareTheBudgetOfOne() {
+  void eachColdServerHasItsOwnWarmUpBudget() {
     int[] sent = new int[2];
-    for (int more = 0; more < 2; more++) {
+    for (int variant = 0; variant < 2; variant++) {
       for (int seed = 0; seed < 60; seed++) {
-        Bench bench = Bench.safe(seed, "a", "b");
+        Bench harness = Bench.safe(seed, "a", "b");
         for (int i = 0; i < 40; i++) {
           if (i == 30) {
-            for (int cold = 0; cold <= 9 * more; cold++) {
-              bench.change(server("cold" + cold, State.READY, bench.now));
+            for (int cold = 0; cold <= 9 * variant; cold++) {
+              harness.change(server("cold" + cold, State.READY, harness.now));
             }
           }
-          String server = bench.open(i, "x" + i, null);
-          sent[more] += server.startsWith("cold") ? 1 : 0;
-          bench.pass(500 * MS);
-          bench.balancer.ended(bench.now, i, 0, Outcome.SERVED, 0, true);
+          String server = harness.open(i, "x" + i, null);
+          sent[variant] += server.startsWith("cold") ? 1 : 0;
+          harness.pass(500 * MS);
+          harness.balancer.ended(harness.now, i, 0, Outcome.SERVED, 0, true);
         }
       }
     }
-    assertTrue(sent[1] > 3 * sent[0], sent[0] + " to one, " + sent[1] + " to ten");
+    assertTrue(sent[1] > 3 * sent[0], sent[0] + " to one cold server, " + sent[1] + " to ten");
   }
 
-  /** A shared call that is late at all servers is overloaded, though each set-up stands in the end. */
+  /** Setups that are slow on all servers show an overloaded shared store, even if each of them succeeds in the end. */
   @Test
-  void lateSetUpsThrottleAsFailedOnesDo() {
+  void setupsSlowerThanTheTargetAreThrottledLikeFailedOnes() {
     for (long latency : new long[] {20 * MS, 400 * MS}) {
-      Bench bench = Bench.safe("a", "b", "c");
+      Bench harness = Bench.safe("a", "b", "c");
       for (long id = 1; id <= 30; id++) {
-        bench.ask(id, "x" + id, "g");
-        bench.balancer.opened(bench.now, id, 0, latency);
+        harness.submit(id, "x" + id, "g");
+        harness.balancer.opened(harness.now, id, 0, latency);
       }
-      boolean sent = bench.ask(40, "y", "g") != null;
-      assertEquals(latency < TYPE.aim(), sent, "set-ups took " + latency);
+      boolean sent = harness.submit(40, "y", "g") != null;
+      assertEquals(latency < REQUEST_CLASS.aim(), sent, "setup latency in micros: " + latency);
     }
   }
 }
--- a/proxy/src/test/java/amberhoist/decide/PolicyTest.java
+++ b/proxy/src/test/java/amberhoist/decide/PolicyTest.java
@@ -24,459 +24,464 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** Decisions of one balancer: affinity, rotation, preferred servers, overload, failures, cold servers, retries. */
 class PolicyTest {
   @Test
-  void unexpiredEntryDecidesAndExpiredOneDoesNot() {
-    Bench bench = safe("a", "b", "c", "d");
-    String first = bench.open(1, "client", null);
-    bench.pass(Policy.TTL - S);
-    assertEquals(first, bench.open(2, "client", null), "younger than the TTL");
-    bench.pass(Policy.TTL - S);
-    assertEquals(first, bench.open(3, "client", null), "the second use refreshed it");
-    bench.pass(Policy.TTL);
-    assertNotEquals(first, bench.open(4, "client", null), "expired: the rotation goes on");
+  void affinityEntryIsUsedUntilItExpires() {
+    Bench harness = safe("a", "b", "c", "d");
+    String first = harness.open(1, "client", null);
+    harness.pass(Policy.TTL - S);
+    assertEquals(first, harness.open(2, "client", null), "younger than the TTL");
+    harness.pass(Policy.TTL - S);
+    assertEquals(first, harness.open(3, "client", null), "the second use renewed it");
+    harness.pass(Policy.TTL);
+    assertNotEquals(first, harness.open(4, "client", null), "expired: the next server of the rotation");
   }
 
   @Test
-  void newClientsFollowTheRotation() {
-    Bench bench = safe("a", "b", "c");
+  void newClientsAreDistributedByRotation() {
+    Bench harness = safe("a", "b", "c");
     Set<String> seen = new HashSet<>();
     for (int i = 0; i < 3; i++) {
-      seen.add(bench.open(i, "client" + i, null));
+      seen.add(harness.open(i, "client" + i, null));
     }
     assertEquals(Set.of("a", "b", "c"), seen);
   }
 
   @Test
-  void clientsBackAllAtOnceAreSetUpInTurn() {
-    Bench bench = safe("a", "b", "c", "d");
+  void simultaneousSetupsQueueAtTheSetupConcurrencyLimit() {
+    Bench harness = safe("a", "b", "c", "d");
     int first = (int) Policy.WINDOW_FIRST;
     for (int i = 0; i < 3 * first; i++) {
-      bench.ask(i, "client" + i, null);
+      harness.submit(i, "client" + i, null);
     }
-    assertEquals(first, bench.count("send"), "no more at once than the shared call may take");
-    bench.pass(50 * MS);
-    bench.balancer.opened(bench.now, 0, 0, 50 * MS);
-    assertEquals(1, bench.count("send", first), "the one held longest follows at once");
-    assertEquals(0, bench.count("send", first + 2));
-    bench.balancer.opened(bench.now, 1, 0, 400 * MS);
-    bench.balancer.opened(bench.now, 2, 0, 400 * MS);
-    assertTrue(bench.count("send") < first + 3, "set-ups have become slow: fewer may be out");
-    bench.pass(500 * MS);
-    assertEquals(0, bench.count("refuse", first + 2), "its turn comes: it may wait longer than its aim");
-    bench.pass(200 * MS);
-    assertEquals(1, bench.count("refuse", first + 2), "but not until there is no time left to set it up");
-  }
-
-  @Test
-  void requestThatTwoServersFailIsAnsweredAndStrikesNeither() {
-    Bench bench = safe("a", "b");
-    String first = bench.ask(1, "bad", null);
-    bench.fail(1, 0, Outcome.ERROR);
-    assertEquals(2, bench.count("send", 1), "another server may do better");
-    bench.fail(1, 1, Outcome.ERROR);
-    assertEquals(1, bench.count("refuse", 1), "the fault is the request's: no third attempt");
-    Set<String> used = Set.of(bench.open(2, "x", null), bench.open(3, "y", null));
-    assertTrue(used.contains(first) && used.size() == 2, "both go on serving others");
-  }
-
-  @Test
-  void clientsOfOneGroupDoNotCrowdOneServer() {
-    Bench bench = safe("a", "b", "c", "d", "e");
+    assertEquals(first, harness.count("send"), "no more at once than the setup concurrency limit");
+    harness.pass(50 * MS);
+    harness.balancer.opened(harness.now, 0, 0, 50 * MS);
+    assertEquals(1, harness.count("send", first), "the oldest queued request follows at once");
+    assertEquals(0, harness.count("send", first + 2));
+    harness.balancer.opened(harness.now, 1, 0, 400 * MS);
+    harness.balancer.opened(harness.now, 2, 0, 400 * MS);
+    assertTrue(harness.count("send") < first + 3, "setups have become slow: the limit falls");
+    harness.pass(500 * MS);
+    assertEquals(0, harness.count("refuse", first + 2), "stays queued beyond its setup target");
+    harness.pass(200 * MS);
+    assertEquals(1, harness.count("refuse", first + 2), "rejected once too little time is left to set it up");
+  }
+
+  @Test
+  void requestThatTwoServersFailIsRejectedAndEjectsNeitherServer() {
+    Bench harness = safe("a", "b");
+    String first = harness.submit(1, "bad", null);
+    harness.failAttempt(1, 0, Outcome.ERROR);
+    assertEquals(2, harness.count("send", 1), "retried on another server");
+    harness.failAttempt(1, 1, Outcome.ERROR);
+    assertEquals(1, harness.count("refuse", 1), "two errors point to the request: no third attempt");
+    Set<String> used = Set.of(harness.open(2, "x", null), harness.open(3, "y", null));
+    assertTrue(used.contains(first) && used.size() == 2, "both servers keep getting other requests");
+  }
+
+  @Test
+  void largeGroupDoesNotOverloadOneServer() {
+    Bench harness = safe("a", "b", "c", "d", "e");
     HashMap<String, Integer> open = new HashMap<>();
     int total = 40;
     for (int i = 0; i < total; i++) {
-      open.merge(bench.open(i, "client" + i, i < 28 ? "group" + i % 14 : "crowd"), 1, Integer::sum);
+      open.merge(harness.open(i, "client" + i, i < 28 ? "group" + i % 14 : "crowd"), 1, Integer::sum);
     }
-    int most = open.values().stream().max(Integer::compare).orElseThrow();
-    assertTrue(most <= 1.5 * total / 5 + 2, "all proxies fill it so, and it must not be jammed: " + open);
+    int max = open.values().stream().max(Integer::compare).orElseThrow();
+    assertTrue(max <= 1.5 * total / 5 + 2, "all proxies choose alike, one server would be overloaded: " + open);
   }
 
   @Test
-  void connectionsNotToldYetCountAsTheirClassUsuallyDoes() {
-    String home = safe("a", "b", "c").open(1, "x", "g");
-    String other = home.equals("a") ? "b" : "a";
-    Bench bench = safe("a", "b", "c");
+  void connectionsWithoutReportedLoadCountWithTheTypicalLoadOfTheirClass() {
+    String preferred = safe("a", "b", "c").open(1, "x", "g");
+    String other = preferred.equals("a") ? "b" : "a";
+    Bench harness = safe("a", "b", "c");
     for (int i = 0; i < 14; i++) {
-      bench.balancer.handover(bench.now, Bench.request(i, "client" + i, null, S), i < 9 ? home : other);
+      harness.balancer.handover(harness.now, Bench.request(i, "client" + i, null, S),
+          i < 9 ? preferred : other);
     }
     for (int i = 9; i < 14; i++) {
-      bench.balancer.load(bench.now, i, 0, 100_000);
+      harness.balancer.load(harness.now, i, 0, 100_000);
     }
-    bench.pass(200 * MS);
-    assertNotEquals(home, bench.open(100, "y", "g"), "nine not told are more than five that were");
+    harness.pass(200 * MS);
+    assertNotEquals(preferred, harness.open(100, "y", "g"), "nine without reported load outweigh five with one");
   }
 
   @Test
-  void loadCheckTakesTheOneAfterAndSkipsBoth() {
-    Bench bench = safe("a", "b", "c");
-    String first = bench.open(1, "x", null);
-    String second = bench.open(2, "y", null);
-    String third = bench.open(3, "z", null);
-    bench.balancer.ended(bench.now, 2, 0, Outcome.SERVED, 0, true);
-    assertEquals(second, bench.open(4, "u", null), "first holds more than second, so second is taken");
-    assertEquals(third, bench.open(5, "v", null), "and the index skipped both");
+  void loadCheckTakesTheLessLoadedNextServerAndSkipsBoth() {
+    Bench harness = safe("a", "b", "c");
+    String first = harness.open(1, "x", null);
+    String second = harness.open(2, "y", null);
+    String third = harness.open(3, "z", null);
+    harness.balancer.ended(harness.now, 2, 0, Outcome.SERVED, 0, true);
+    assertEquals(second, harness.open(4, "u", null), "first has more connections, so second is taken");
+    assertEquals(third, harness.open(5, "v", null), "the rotation index skipped both");
     assertNotEquals(first, second);
   }
 
   @Test
-  void failedSetUpResetsTheEntryAndSkipsTheMap() {
-    Bench bench = safe("a", "b", "c");
-    String bad = bench.ask(1, "client", null);
-    int before = bench.acts.size();
-    bench.fail(1, 0, Outcome.CONNECT_FAILED);
-    String next = bench.sentSince(before, 1);
+  void failedSetupClearsTheAffinityEntryAndRetriesElsewhere() {
+    Bench harness = safe("a", "b", "c");
+    String bad = harness.submit(1, "client", null);
+    int before = harness.acts.size();
+    harness.failAttempt(1, 0, Outcome.CONNECT_FAILED);
+    String next = harness.sentSince(before, 1);
     assertNotEquals(bad, next);
-    bench.balancer.opened(bench.now, 1, 1, 0);
-    assertEquals(next, bench.open(2, "client", null));
+    harness.balancer.opened(harness.now, 1, 1, 0);
+    assertEquals(next, harness.open(2, "client", null));
   }
 
   @Test
-  void entriesOfDrainingAndRemovedServersAreDropped() {
-    Bench bench = safe("a", "b");
-    String first = bench.open(1, "client", null);
-    bench.change(server(first, State.DRAINING, 0));
-    String other = bench.open(2, "client", null);
+  void affinityEntriesOfDrainingAndRemovedServersAreDropped() {
+    Bench harness = safe("a", "b");
+    String first = harness.open(1, "client", null);
+    harness.change(server(first, State.DRAINING, 0));
+    String other = harness.open(2, "client", null);
     assertNotEquals(first, other);
-    bench.full(first);
-    assertEquals(first, bench.open(3, "client", null), "a full list without the other means it is gone");
+    harness.full(first);
+    assertEquals(first, harness.open(3, "client", null), "a server that is missing from a full list is gone");
   }
 
   @Test
-  void handoverRebuildsTheMap() {
-    Bench bench = safe("a", "b", "c");
-    bench.balancer.handover(bench.now, Bench.request(1, "client", null, 0), "b");
-    assertEquals("b", bench.open(2, "client", null));
+  void handoverRestoresTheAffinityEntry() {
+    Bench harness = safe("a", "b", "c");
+    harness.balancer.handover(harness.now, Bench.request(1, "client", null, 0), "b");
+    assertEquals("b", harness.open(2, "client", null));
   }
 
   @Test
-  void groupStaysTogetherAndBalancersAgreeUnasked() {
+  void groupStaysOnOneServerThatAllBalancersChooseIndependently() {
     Bench one = safe("a", "b", "c", "d", "e", "f");
     Bench two = safe("f", "e", "d", "c", "b", "a");
     two.open(99, "other", null);
-    String home = one.open(1, "x", "g");
-    assertEquals(home, one.open(2, "y", "g"));
-    assertEquals(home, two.open(3, "z", "g"));
+    String preferred = one.open(1, "x", "g");
+    assertEquals(preferred, one.open(2, "y", "g"));
+    assertEquals(preferred, two.open(3, "z", "g"));
   }
 
   @Test
-  void largeGroupIsSplitOverAFewHomesOnly() {
-    Bench bench = safe("a", "b", "c", "d", "e", "f", "g", "h");
+  void largeGroupIsSpreadOverAFewPreferredServersOnly() {
+    Bench harness = safe("a", "b", "c", "d", "e", "f", "g", "h");
     for (int i = 0; i < 40; i++) {
-      bench.open(i, "other" + i, "g" + i % 10);
+      harness.open(i, "other" + i, "g" + i % 10);
     }
-    Set<String> homes = new HashSet<>();
+    Set<String> used = new HashSet<>();
     for (int i = 100; i < 110; i++) {
-      homes.add(bench.open(i, "client" + i, "large"));
+      used.add(harness.open(i, "client" + i, "large"));
     }
-    assertTrue(homes.size() >= 2 && homes.size() <= 4, homes.toString());
+    assertTrue(used.size() >= 2 && used.size() <= 4, used.toString());
   }
 
   @Test
-  void crowdedHomeIsPassedByUntilItsNoteFades() {
-    Bench bench = safe("a", "b", "c", "d");
-    String home = bench.open(1, "x", "g");
-    bench.balancer.delay(bench.now, 1, 0, 40 * MS);
-    assertNotEquals(home, bench.open(2, "y", "g"));
-    bench.pass(Policy.SLOW_MEMORY + S);
-    assertEquals(home, bench.open(3, "z", "g"));
+  void slowPreferredServerIsSkippedUntilItsDelayReportExpires() {
+    Bench harness = safe("a", "b", "c", "d");
+    String preferred = harness.open(1, "x", "g");
+    harness.balancer.delay(harness.now, 1, 0, 40 * MS);
+    assertNotEquals(preferred, harness.open(2, "y", "g"));
+    harness.pass(Policy.SLOW_MEMORY + S);
+    assertEquals(preferred, harness.open(3, "z", "g"));
   }
 
   @Test
-  void jammedServerIsRelievedAtAPace() {
-    Bench bench = safe("a", "b", "c", "d");
+  void overloadedServerIsOffloadedOncePerDelayReport() {
+    Bench harness = safe("a", "b", "c", "d");
     for (int i = 0; i < 10; i++) {
-      bench.open(i, "x" + i, "g");
+      harness.open(i, "x" + i, "g");
     }
-    bench.balancer.delay(bench.now, 0, 0, 400 * MS);
-    bench.pass(500 * MS);
-    long moved = bench.count("move");
+    harness.balancer.delay(harness.now, 0, 0, 400 * MS);
+    harness.pass(500 * MS);
+    long moved = harness.count("move");
     assertTrue(moved >= 1 && moved <= 3, "moved " + moved);
-    bench.pass(700 * MS);
-    assertEquals(moved, bench.count("move"), "one round for each note");
-    bench.balancer.delay(bench.now, 0, 0, 700 * MS);
-    bench.pass(100 * MS);
-    assertTrue(bench.count("move") > moved, "slower: one more round");
-    moved = bench.count("move");
-    bench.balancer.delay(bench.now, 0, 0, 20 * MS);
-    bench.pass(1100 * MS);
-    assertEquals(moved, bench.count("move"), "no longer slow: the rest stays");
+    harness.pass(700 * MS);
+    assertEquals(moved, harness.count("move"), "one round of moves per delay report");
+    harness.balancer.delay(harness.now, 0, 0, 700 * MS);
+    harness.pass(100 * MS);
+    assertTrue(harness.count("move") > moved, "a new, longer delay: one more round of moves");
+    moved = harness.count("move");
+    harness.balancer.delay(harness.now, 0, 0, 20 * MS);
+    harness.pass(1100 * MS);
+    assertEquals(moved, harness.count("move"), "no longer slow: no more moves");
   }
 
-  /** Many balancers with one connection each on a jammed server: together they move a part, not all. */
+  /** Many balancers with one connection each on an overloaded server must together move a part of them, not all. */
   @Test
-  void reliefOfManyBalancersAddsUpToTheAmountMeant() {
+  void movesByManyBalancersAddUpToTheExcessLoad() {
     long moved = 0;
     for (int seed = 0; seed < 200; seed++) {
-      Bench bench = safe(seed, "a", "b", "c", "d");
-      bench.open(1, "x", "g");
-      bench.balancer.delay(bench.now, 1, 0, 400 * MS);
-      bench.pass(40 * MS);
-      moved += bench.count("move");
+      Bench harness = safe(seed, "a", "b", "c", "d");
+      harness.open(1, "x", "g");
+      harness.balancer.delay(harness.now, 1, 0, 400 * MS);
+      harness.pass(40 * MS);
+      moved += harness.count("move");
     }
-    double meant = 200 * (1 - (1 - 400 * MS / Policy.SECOND) / 1.4); // grown in a second, to be drained in one
-    assertTrue(moved > meant / 2 && moved < meant * 2, "moved " + moved);
+    double expected = 200 * (1 - (1 - 400 * MS / Policy.SECOND) / 1.4); // queued in 1 s, to be worked off in 1 s
+    assertTrue(moved > expected / 2 && moved < expected * 2, "moved " + moved);
   }
 
-  /** Many balancers that see a group a few times spread it over some homes, not one, not all. */
+  /** Many balancers that have seen few requests of a group spread it over some preferred servers, not one or all. */
   @Test
-  void thinEvidenceSpreadsAGroupOverSomeHomes() {
+  void rarelySeenGroupIsSpreadOverSomePreferredServers() {
     String[] names = new String[40];
     for (int i = 0; i < names.length; i++) {
       names[i] = "s" + i;
     }
-    Map<String, Integer> taken = new HashMap<>();
+    Map<String, Integer> sent = new HashMap<>();
     for (int seed = 0; seed < 200; seed++) {
-      Bench bench = safe(seed, names);
+      Bench harness = safe(seed, names);
       for (int i = 0; i < 8; i++) {
-        bench.open(i, "y" + i, i % 3 == 0 ? "g" : "h" + i);
+        harness.open(i, "y" + i, i % 3 == 0 ? "g" : "h" + i);
       }
-      taken.merge(bench.open(10, "x", "g"), 1, Integer::sum);
+      sent.merge(harness.open(10, "x", "g"), 1, Integer::sum);
     }
-    int most = taken.values().stream().max(Integer::compare).orElseThrow();
-    assertTrue(most < 150, "most on one home " + most);
-    assertTrue(taken.size() >= 3 && taken.size() <= 12, "homes " + taken.size());
+    int max = sent.values().stream().max(Integer::compare).orElseThrow();
+    assertTrue(max < 150, "most connections on one server: " + max);
+    assertTrue(sent.size() >= 3 && sent.size() <= 12, "servers used: " + sent.size());
   }
 
   @Test
-  void groupWithoutRoomWaitsAndIsRefusedWithAdvice() {
-    Bench bench = safe("a");
-    bench.open(1, "x", "g");
-    bench.balancer.delay(bench.now, 1, 0, 900 * MS);
-    assertNull(bench.ask(2, "y", "g"));
-    bench.pass(200 * MS);
-    assertEquals(0, bench.count("refuse", 2), "held within the aim");
-    bench.pass(200 * MS);
-    assertEquals(1, bench.count("refuse", 2));
-    assertTrue(bench.acts.stream().anyMatch(a -> a.what().equals("refuse") && a.amount() > 0));
+  void requestWithoutUsableServerIsQueuedAndThenRejectedWithRetryAfter() {
+    Bench harness = safe("a");
+    harness.open(1, "x", "g");
+    harness.balancer.delay(harness.now, 1, 0, 900 * MS);
+    assertNull(harness.submit(2, "y", "g"));
+    harness.pass(200 * MS);
+    assertEquals(0, harness.count("refuse", 2), "queued within its setup target");
+    harness.pass(200 * MS);
+    assertEquals(1, harness.count("refuse", 2));
+    assertTrue(harness.acts.stream().anyMatch(a -> a.what().equals("refuse") && a.amount() > 0));
   }
 
   @Test
-  void learnedCapKeepsReturningClientsFromJammingAServerAgain() {
-    Bench bench = safe("a");
+  void loadLimitPreventsReturningClientsFromOverloadingAServerAgain() {
+    Bench harness = safe("a");
     for (int i = 0; i < 20; i++) {
-      bench.open(i, "x" + i, "g");
+      harness.open(i, "x" + i, "g");
     }
-    bench.balancer.delay(bench.now, 0, 0, 400 * MS);
-    bench.pass(20 * MS);
-    bench.balancer.delay(bench.now, 0, 0, 5 * MS);
-    assertNull(bench.ask(100, "late", "g"), "no longer slow, but at its cap");
-    bench.pass(20 * S);
-    assertNotNull(bench.ask(101, "later", "g"), "the cap grows back");
+    harness.balancer.delay(harness.now, 0, 0, 400 * MS);
+    harness.pass(20 * MS);
+    harness.balancer.delay(harness.now, 0, 0, 5 * MS);
+    assertNull(harness.submit(100, "late", "g"), "no longer slow, but at its load limit");
+    harness.pass(20 * S);
+    assertNotNull(harness.submit(101, "later", "g"), "the load limit grows back");
   }
 
   @Test
-  void failingServerIsPassedByAndThenTriedOneAtATime() {
-    Bench bench = safe("a", "b", "c", "d");
-    String bad = bench.ask(1, "x", "g");
-    bench.fail(1, 0, Outcome.ERROR);
-    assertNotEquals(bad, bench.ask(2, "y", "g"));
-    bench.pass(S);
-    assertEquals(bad, bench.ask(3, "z", "g"), "one trial");
-    assertNotEquals(bad, bench.ask(4, "u", "g"), "not a second while it is out");
-    bench.balancer.opened(bench.now, 3, 0, 0);
-    assertEquals(bad, bench.ask(5, "v", "g"), "trusted again");
+  void failingServerIsEjectedAndThenProbedByOneRequestAtATime() {
+    Bench harness = safe("a", "b", "c", "d");
+    String bad = harness.submit(1, "x", "g");
+    harness.failAttempt(1, 0, Outcome.ERROR);
+    assertNotEquals(bad, harness.submit(2, "y", "g"));
+    harness.pass(S);
+    assertEquals(bad, harness.submit(3, "z", "g"), "one probe");
+    assertNotEquals(bad, harness.submit(4, "u", "g"), "no second probe while one is in flight");
+    harness.balancer.opened(harness.now, 3, 0, 0);
+    assertEquals(bad, harness.submit(5, "v", "g"), "no longer ejected");
   }
 
   @Test
-  void failuresEverywhereThrottleInsteadOfMultiplyingRetries() {
-    Bench bench = safe("a", "b", "c", "d");
+  void failuresOnAllServersThrottleRetries() {
+    Bench harness = safe("a", "b", "c", "d");
     Map<Long, Integer> attempts = new HashMap<>();
     int failed = 0;
     for (int i = 0; i < 400; i++) {
-      bench.ask(i, "x" + i, "g");
-      failed = failSends(bench, attempts, failed, Outcome.ERROR);
-      bench.pass(20 * MS);
+      harness.submit(i, "x" + i, "g");
+      failed = failSends(harness, attempts, failed, Outcome.ERROR);
+      harness.pass(20 * MS);
     }
-    assertTrue(failed > 0 && bench.count("send") < 300, "sent " + bench.count("send") + " for 400 requests");
-    bench.pass(60 * S);
-    assertNotNull(bench.ask(5000, "last", "g"), "the throttle ends as the record fades");
+    assertTrue(failed > 0 && harness.count("send") < 300, "sent " + harness.count("send") + " for 400 requests");
+    harness.pass(60 * S);
+    assertNotNull(harness.submit(5000, "last", "g"), "throttling ends as retry tokens come back");
   }
 
-  /** Among a group's homes one in the own zone goes first, but a crowded one does not. */
+  /** Of a group's preferred servers one in the own zone comes first, unless its messages are slow. */
   @Test
-  void ownZonesHomeGoesFirstWhileItIsNotCrowded() {
-    Bench bench = safe();
-    bench.servers(Bench.zoned("a", "z"), Bench.zoned("b", "y"), Bench.zoned("c", "z"), Bench.zoned("d", "y"));
-    Map<String, Integer> taken = new HashMap<>();
+  void preferredServerInOwnZoneComesFirstUnlessItIsSlow() {
+    Bench harness = safe();
+    harness.servers(Bench.zoned("a", "z"), Bench.zoned("b", "y"),
+        Bench.zoned("c", "z"), Bench.zoned("d", "y"));
+    Map<String, Integer> sent = new HashMap<>();
     for (int i = 0; i < 40; i++) {
-      bench.open(100 + i, "own" + i, "h" + i % 20);
+      harness.open(100 + i, "own" + i, "h" + i % 20);
     }
     for (int i = 0; i < 20; i++) {
-      taken.merge(bench.open(i, "x" + i, "h" + i % 5), 1, Integer::sum);
+      sent.merge(harness.open(i, "x" + i, "h" + i % 5), 1, Integer::sum);
     }
-    int own = taken.getOrDefault("a", 0) + taken.getOrDefault("c", 0);
-    assertTrue(own >= 14, "in the own zone " + taken);
-    String home = bench.open(200, "y", "h1");
-    bench.balancer.delay(bench.now, 200, 0, 90 * MS);
-    assertNotEquals(home, bench.open(201, "z", "h1"));
+    int own = sent.getOrDefault("a", 0) + sent.getOrDefault("c", 0);
+    assertTrue(own >= 14, "connections by server: " + sent);
+    String preferred = harness.open(200, "y", "h1");
+    harness.balancer.delay(harness.now, 200, 0, 90 * MS);
+    assertNotEquals(preferred, harness.open(201, "z", "h1"));
   }
 
-  /** A shared call that fails for all: a trickle goes on finding out, and success opens up quickly. */
+  /** While the shared store fails for all, a few setups keep probing it; successes raise the rate again quickly. */
   @Test
-  void setUpsFailingEverywhereAreCutToATrickleAndComeBack() {
-    Bench bench = safe("a", "b", "c", "d");
+  void setupsFailingOnAllServersAreThrottledToProbesAndRecover() {
+    Bench harness = safe("a", "b", "c", "d");
     Map<Long, Integer> attempts = new HashMap<>();
-    int done = 0;
+    int handled = 0;
     int before = 0;
     for (int i = 0; i < 600; i++) {
-      before = i == 200 ? done : before;
-      bench.ask(i, "x" + i, "g" + i);
-      bench.pass(50 * MS);
-      done = failSends(bench, attempts, done, Outcome.TIMED_OUT);
+      before = i == 200 ? handled : before;
+      harness.submit(i, "x" + i, "g" + i);
+      harness.pass(50 * MS);
+      handled = failSends(harness, attempts, handled, Outcome.TIMED_OUT);
     }
-    long trickle = bench.acts.subList(before, done).stream().filter(Bench.Act::isSend).count();
-    assertTrue(trickle >= 2 && trickle <= 10, "sent in the last 20 s: " + trickle);
-    bench.pass(10 * S);
-    int stood = 0;
+    long probes = harness.acts.subList(before, handled).stream().filter(Bench.Act::isSend).count();
+    assertTrue(probes >= 2 && probes <= 10, "sent in the last 20 s: " + probes);
+    harness.pass(10 * S);
+    int established = 0;
     for (int i = 600; i < 700; i++) {
-      stood += bench.open(i, "z" + i, "g" + i) != null ? 1 : 0;
+      established += harness.open(i, "z" + i, "g" + i) != null ? 1 : 0;
     }
-    assertTrue(stood > 80, "stood after the trouble: " + stood);
+    assertTrue(established > 80, "established after recovery: " + established);
   }
 
   @Test
-  void coldServerGetsABudgetOverTime() {
-    Bench bench = safe("a", "b");
+  void coldServerGetsItsWarmUpBudgetOverTimeAndNoLimitOnceWarm() {
+    Bench harness = safe("a", "b");
     for (int i = 0; i < 50; i++) {
-      bench.open(i, "x" + i, null);
-      bench.pass(100 * MS);
-      bench.balancer.ended(bench.now, i, 0, Outcome.SERVED, 0, true);
+      harness.open(i, "x" + i, null);
+      harness.pass(100 * MS);
+      harness.balancer.ended(harness.now, i, 0, Outcome.SERVED, 0, true);
     }
-    bench.change(server("c", State.READY, bench.now));
-    int before = bench.acts.size();
+    harness.change(server("c", State.READY, harness.now));
+    int before = harness.acts.size();
     for (int i = 100; i < 130; i++) {
-      bench.open(i, "y" + i, null);
+      harness.open(i, "y" + i, null);
     }
-    assertEquals(0, sentTo(bench, before, "c"), "nothing at once");
+    assertEquals(0, sentTo(harness, before, "c"), "no budget at once");
     for (int i = 200; i < 230; i++) {
-      bench.open(i, "z" + i, null);
-      bench.pass(100 * MS);
+      harness.open(i, "z" + i, null);
+      harness.pass(100 * MS);
     }
-    long early = sentTo(bench, before, "c");
-    assertTrue(early <= 7, "sent " + early); // 30 stand at a warm one: in 9 s, times 0.3, times 2.5, for 3 s
-    bench.pass(9 * S);
+    long early = sentTo(harness, before, "c");
+    assertTrue(early <= 7, "sent " + early); // 30 connections on a warm server: / 9 s * 0.3 * 2.5 * 3 s
+    harness.pass(9 * S);
     for (int i = 300; i < 330; i++) {
-      bench.open(i, "w" + i, null);
+      harness.open(i, "w" + i, null);
     }
-    assertTrue(sentTo(bench, before, "c") > early + 5, "warm: no limit");
+    assertTrue(sentTo(harness, before, "c") > early + 5, "warm: no limit");
   }
 
-  private static long sentTo(Bench bench, int before, String server) {
-    return bench.acts.stream().skip(before).filter(a -> server.equals(a.server())).count();
+  /** Number of actions from action {@code before} on that concern a server. */
+  private static long sentTo(Bench harness, int before, String server) {
+    return harness.acts.stream().skip(before).filter(a -> server.equals(a.server())).count();
   }
 
   @Test
-  void unsafeRequestIsNeitherRepeatedNorRefusedOnceItMayHaveRun() {
-    Bench bench = new Bench();
-    bench.start(Bench.settings(false, Bench.type(Effect.UNSAFE, Scope.ALL)));
-    bench.full("a", "b");
-    bench.ask(1, "x", null);
-    bench.fail(1, 0, Outcome.FULL);
-    assertEquals(2, bench.count("send", 1), "never ran: sent again");
-    bench.fail(1, 1, Outcome.TIMED_OUT);
-    bench.pass(2 * S);
-    assertEquals(2, bench.count("send", 1));
-    assertEquals(0, bench.count("refuse", 1));
-    assertEquals(1, bench.count("fail", 1));
+  void unsafeRequestThatMayHaveRunIsNeitherRetriedNorRejected() {
+    Bench harness = new Bench();
+    harness.start(Bench.settings(false, Bench.type(Effect.UNSAFE, Scope.ALL)));
+    harness.full("a", "b");
+    harness.submit(1, "x", null);
+    harness.failAttempt(1, 0, Outcome.FULL);
+    assertEquals(2, harness.count("send", 1), "never ran: retried");
+    harness.failAttempt(1, 1, Outcome.TIMED_OUT);
+    harness.pass(2 * S);
+    assertEquals(2, harness.count("send", 1));
+    assertEquals(0, harness.count("refuse", 1));
+    assertEquals(1, harness.count("fail", 1));
   }
 
   @Test
-  void keyedRequestStaysInItsCellAndWindow() {
-    Bench bench = new Bench();
-    bench.start(Bench.settings(false, Bench.type(Effect.KEYED, Scope.CELL)));
-    bench.balancer.members(bench.now, ListKind.FULL, List.of(
+  void keyedRequestIsRetriedInItsCellAndNotRejectedOnceItMayHaveRun() {
+    Bench harness = new Bench();
+    harness.start(Bench.settings(false, Bench.type(Effect.KEYED, Scope.CELL)));
+    harness.balancer.members(harness.now, ListKind.FULL, List.of(
         new Balancer.Server("a", "z", "k", 1, State.READY, 1, 0),
         new Balancer.Server("b", "z", "k", 2, State.READY, 1, 0),
         new Balancer.Server("c", "z", "k", 1, State.READY, 1, 0)));
-    String first = bench.ask(1, "x", null);
-    int before = bench.acts.size();
-    bench.fail(1, 0, Outcome.TIMED_OUT);
-    String second = bench.sentSince(before, 1);
+    String first = harness.submit(1, "x", null);
+    int before = harness.acts.size();
+    harness.failAttempt(1, 0, Outcome.TIMED_OUT);
+    String second = harness.sentSince(before, 1);
     assertEquals(first.equals("b") ? null : first.equals("a") ? "c" : "a", second);
-    bench.pass(2 * S);
-    assertEquals(0, bench.count("refuse", 1), "a refusal would promise that nothing ran");
+    harness.pass(2 * S);
+    assertEquals(0, harness.count("refuse", 1), "a rejection would promise that nothing ran");
   }
 
-  /** Failure met by reading: the client was told to come again at a time when its repeat is no longer dropped. */
+  /** Prevents a retry-after that ends when servers no longer drop repeats: the retried request would run twice. */
   @Test
-  void aRefusalPromisesNoMoreThanHoldsWhenTheClientComesAgain() {
-    for (boolean inTime : new boolean[] {true, false}) {
-      Bench bench = new Bench();
-      bench.start(Bench.settings(false, Bench.type(Effect.KEYED, Scope.ALL))); // repeats are dropped for 5 s
-      bench.full("a", "b", "c", "d", "e", "f");
-      bench.balancer.request(bench.now, Bench.request(1, "x", null, bench.now + 20 * S));
-      bench.pass(inTime ? 4 * S : 4930 * MS);
+  void keyedRequestIsRejectedOnlyIfTheClientsRetryFallsWithinTheWindow() {
+    for (boolean inWindow : new boolean[] {true, false}) {
+      Bench harness = new Bench();
+      // repeats are dropped for 5 s
+      harness.start(Bench.settings(false, Bench.type(Effect.KEYED, Scope.ALL)));
+      harness.full("a", "b", "c", "d", "e", "f");
+      harness.balancer.request(harness.now, Bench.request(1, "x", null, harness.now + 20 * S));
+      harness.pass(inWindow ? 4 * S : 4930 * MS);
       for (int attempt = 0; attempt < 4; attempt++) {
-        assertEquals(attempt + 1, bench.count("send", 1), "within the window it is tried again");
-        bench.fail(1, attempt, Outcome.TIMED_OUT);
+        assertEquals(attempt + 1, harness.count("send", 1), "retried within the window");
+        harness.failAttempt(1, attempt, Outcome.TIMED_OUT);
       }
-      assertEquals(inTime ? 1 : 0, bench.count("refuse", 1));
-      assertEquals(inTime ? 0 : 1, bench.count("fail", 1));
+      assertEquals(inWindow ? 1 : 0, harness.count("refuse", 1));
+      assertEquals(inWindow ? 0 : 1, harness.count("fail", 1));
     }
   }
 
   @Test
-  void failedSubscribeIsRenewedWithBackOff() {
-    Bench bench = new Bench();
-    bench.start(Bench.settings(true, Bench.type(Effect.SAFE, Scope.ALL)));
-    assertEquals(0, bench.count("subscribe"), "not all balancers in the second of their start");
-    bench.pass((long) (Policy.FIRST_ASK * 10 * S));
-    assertEquals(1, bench.count("subscribe"));
-    bench.balancer.members(bench.now, ListKind.FAILED, List.of());
-    bench.pass(Policy.LIST_WAIT * 2 + 40 * MS);
-    assertEquals(2, bench.count("subscribe"));
-    bench.balancer.members(bench.now, ListKind.FAILED, List.of());
-    bench.pass(Policy.LIST_WAIT);
-    assertEquals(2, bench.count("subscribe"), "the second wait is longer");
-    bench.pass(4 * Policy.LIST_WAIT);
-    assertEquals(3, bench.count("subscribe"));
-    bench.full("a");
-    bench.pass(60 * S);
-    assertEquals(3, bench.count("subscribe"), "a subscription that holds is not renewed");
-    bench.balancer.members(bench.now, ListKind.FAILED, List.of());
-    bench.pass(Policy.LIST_WAIT * 2 + 40 * MS);
-    assertEquals(4, bench.count("subscribe"), "a broken one is");
-  }
-
-  @Test
-  void withoutServersARequestIsHeldThenSentOrRefused() {
-    Bench bench = new Bench();
-    bench.start(Bench.settings(false, Bench.type(Effect.SAFE, Scope.ALL)));
-    assertNull(bench.ask(1, "x", null));
-    assertNull(bench.ask(2, "y", "g"));
-    bench.pass(100 * MS);
-    bench.full("a");
-    assertEquals(2, bench.count("send"), "sent as soon as a server is known");
-    bench.full();
-    assertNull(bench.ask(3, "z", null));
-    bench.pass(S);
-    assertEquals(1, bench.count("refuse", 3));
-  }
-
-  @Test
-  void unknownAndFinishedEventsAreIgnoredAndMisuseIsNot() {
-    Bench bench = safe("a");
-    bench.open(1, "x", null);
-    bench.balancer.departed(bench.now, 1);
-    bench.balancer.ended(bench.now, 1, 0, Outcome.CANCELLED, 0, true);
-    int before = bench.acts.size();
-    bench.balancer.ended(bench.now, 1, 0, Outcome.CANCELLED, 0, true);
-    bench.balancer.opened(bench.now, 77, 0, 0);
-    bench.balancer.load(bench.now, 77, 0, 5);
-    bench.balancer.delay(bench.now, 77, 0, 5);
-    bench.balancer.departed(bench.now, 77);
-    assertEquals(before, bench.acts.size());
-    assertThrows(IllegalStateException.class, () -> bench.start(Bench.settings(false)));
+  void failedSubscriptionIsRetriedWithBackoff() {
+    Bench harness = new Bench();
+    harness.start(Bench.settings(true, Bench.type(Effect.SAFE, Scope.ALL)));
+    assertEquals(0, harness.count("subscribe"), "delayed, so that balancers do not all call at their start");
+    harness.pass((long) (Policy.FIRST_ASK * 10 * S));
+    assertEquals(1, harness.count("subscribe"));
+    harness.balancer.members(harness.now, ListKind.FAILED, List.of());
+    harness.pass(Policy.LIST_WAIT * 2 + 40 * MS);
+    assertEquals(2, harness.count("subscribe"));
+    harness.balancer.members(harness.now, ListKind.FAILED, List.of());
+    harness.pass(Policy.LIST_WAIT);
+    assertEquals(2, harness.count("subscribe"), "the second backoff is longer");
+    harness.pass(4 * Policy.LIST_WAIT);
+    assertEquals(3, harness.count("subscribe"));
+    harness.full("a");
+    harness.pass(60 * S);
+    assertEquals(3, harness.count("subscribe"), "an intact subscription is not renewed");
+    harness.balancer.members(harness.now, ListKind.FAILED, List.of());
+    harness.pass(Policy.LIST_WAIT * 2 + 40 * MS);
+    assertEquals(4, harness.count("subscribe"), "a broken subscription is renewed");
+  }
+
+  @Test
+  void requestWithoutServersIsQueuedAndThenSentOrRejected() {
+    Bench harness = new Bench();
+    harness.start(Bench.settings(false, Bench.type(Effect.SAFE, Scope.ALL)));
+    assertNull(harness.submit(1, "x", null));
+    assertNull(harness.submit(2, "y", "g"));
+    harness.pass(100 * MS);
+    harness.full("a");
+    assertEquals(2, harness.count("send"), "sent as soon as a server is listed");
+    harness.full();
+    assertNull(harness.submit(3, "z", null));
+    harness.pass(S);
+    assertEquals(1, harness.count("refuse", 3));
+  }
+
+  @Test
+  void eventsOfUnknownOrFinishedRequestsAreIgnoredAndMisuseThrows() {
+    Bench harness = safe("a");
+    harness.open(1, "x", null);
+    harness.balancer.departed(harness.now, 1);
+    harness.balancer.ended(harness.now, 1, 0, Outcome.CANCELLED, 0, true);
+    int before = harness.acts.size();
+    harness.balancer.ended(harness.now, 1, 0, Outcome.CANCELLED, 0, true);
+    harness.balancer.opened(harness.now, 77, 0, 0);
+    harness.balancer.load(harness.now, 77, 0, 5);
+    harness.balancer.delay(harness.now, 77, 0, 5);
+    harness.balancer.departed(harness.now, 77);
+    assertEquals(before, harness.acts.size());
+    assertThrows(IllegalStateException.class, () -> harness.start(Bench.settings(false)));
     assertThrows(IllegalStateException.class, () -> new Policy().timer(1, 0));
-    assertThrows(IllegalArgumentException.class, () -> new Policy().start(1, null, 1, bench));
+    assertThrows(IllegalArgumentException.class, () -> new Policy().start(1, null, 1, harness));
   }
 
   @Test
-  void mistakesOfAProxyAuthorAreRefused() {
-    Bench bench = safe("a");
-    bench.open(1, "x", null);
-    assertThrows(IllegalStateException.class, () -> bench.ask(1, "x", null));
+  void invalidArgumentsThrow() {
+    Bench harness = safe("a");
+    harness.open(1, "x", null);
+    assertThrows(IllegalStateException.class, () -> harness.submit(1, "x", null));
     assertThrows(IllegalArgumentException.class, () -> server("", State.READY, 0));
     assertThrows(IllegalArgumentException.class, () -> server("b", null, 0));
     assertThrows(IllegalArgumentException.class, () -> server("b", State.READY, -1));
@@ -492,141 +497,151 @@
         Balancer.Value.NONE, false), "cold multiple 0");
   }
 
-  /** Fails every send from the given action on, those that follow included; returns the actions seen. */
-  private static int failSends(Bench bench, Map<Long, Integer> attempts, int from, Outcome outcome) {
-    int at = from;
-    for (; at < bench.acts.size(); at++) {
-      Bench.Act act = bench.acts.get(at);
+  /**
+   * Reports each send from action {@code from} on as failed, including the retries that follow.
+   *
+   * @return the number of actions handled, to continue from
+   */
+  private static int failSends(Bench harness, Map<Long, Integer> attempts, int from, Outcome outcome) {
+    int next = from;
+    for (; next < harness.acts.size(); next++) {
+      Bench.Act act = harness.acts.get(next);
       if (act.isSend()) {
-        bench.fail(act.request(), attempts.merge(act.request(), 1, Integer::sum) - 1, outcome);
+        harness.failAttempt(act.request(), attempts.merge(act.request(), 1, Integer::sum) - 1, outcome);
       }
     }
-    return at;
-  }
-
-  /** Failure met: a server that let everybody in and shed the newest was forgiven at each UP, and drew whole fleets. */
-  @Test
-  void aServerThatShedsTheNewestIsClearedOnlyByOneItKeeps() {
-    Bench bench = safe("a");
-    bench.open(1, "x1", null);
-    bench.balancer.ended(bench.now, 1, 0, Outcome.RESET, 300 * MS, true);
-    bench.pass(S);
-    assertEquals("a", bench.open(2, "x2", null), "a trial");
-    bench.pass(100 * MS);
-    assertNull(bench.ask(3, "x3", null), "let in is not yet kept");
-    bench.balancer.ended(bench.now, 2, 0, Outcome.RESET, 300 * MS, true);
-    bench.pass(600 * MS);
-    assertNull(bench.ask(4, "x4", null), "shed again: passed by for longer");
-    bench.pass(2 * S);
-    bench.open(5, "x5", null);
-    bench.pass(Policy.YOUNG + 200 * MS);
-    assertEquals("a", bench.ask(6, "x6", null), "kept");
-    assertEquals("a", bench.ask(7, "x7", null), "no trial any more");
-  }
-
-  /** Failure met: clients whose first call had failed stayed on a server where messages were of no worth. */
-  @Test
-  void aClientThatWasRetriedCanBeMovedToo() {
-    Bench bench = safe("a", "b");
-    String first = bench.ask(1, "x", "g");
-    bench.balancer.ended(bench.now, 1, 0, Outcome.CONNECT_FAILED, MS, false);
-    bench.balancer.opened(bench.now, 1, 1, 20 * MS);
+    return next;
+  }
+
+  /**
+   * Prevents a server that accepts all connections and drops the newest from attracting whole fleets: it counted as
+   * recovered with each connection that it accepted.
+   */
+  @Test
+  void serverThatDropsNewConnectionsStaysEjectedUntilItKeepsOne() {
+    Bench harness = safe("a");
+    harness.open(1, "x1", null);
+    harness.balancer.ended(harness.now, 1, 0, Outcome.RESET, 300 * MS, true);
+    harness.pass(S);
+    assertEquals("a", harness.open(2, "x2", null), "a probe");
+    harness.pass(100 * MS);
+    assertNull(harness.submit(3, "x3", null), "an accepted connection is not yet a kept one");
+    harness.balancer.ended(harness.now, 2, 0, Outcome.RESET, 300 * MS, true);
+    harness.pass(600 * MS);
+    assertNull(harness.submit(4, "x4", null), "dropped again: ejected for longer");
+    harness.pass(2 * S);
+    harness.open(5, "x5", null);
+    harness.pass(Policy.YOUNG + 200 * MS);
+    assertEquals("a", harness.submit(6, "x6", null), "the probe was kept");
+    assertEquals("a", harness.submit(7, "x7", null), "no longer limited to one probe");
+  }
+
+  /** Prevents clients whose first attempt had failed from staying on a server that is too slow to be of use. */
+  @Test
+  void retriedClientIsMovedOffAnOverloadedServer() {
+    Bench harness = safe("a", "b");
+    String first = harness.submit(1, "x", "g");
+    harness.balancer.ended(harness.now, 1, 0, Outcome.CONNECT_FAILED, MS, false);
+    harness.balancer.opened(harness.now, 1, 1, 20 * MS);
     assertTrue(first != null);
     for (int i = 0; i < 10; i++) {
-      bench.balancer.delay(bench.now, 1, 1, 2 * S);
-      bench.pass(S);
+      harness.balancer.delay(harness.now, 1, 1, 2 * S);
+      harness.pass(S);
     }
-    assertEquals(1, bench.count("move"));
+    assertEquals(1, harness.count("move"));
   }
 
-  /** Failure met: full servers were filled on in the order of the walk, however much the first one held. */
+  /** Prevents servers beyond their fair share from being filled in order of preference, regardless of their load. */
   @Test
-  void ofServersBeyondTheirDueTheLeastFilledIsTaken() {
-    Bench bench = safe("a", "b", "c", "d");
-    Map<String, Integer> taken = new HashMap<>();
+  void leastLoadedServerIsTakenOnceAllExceedTheirFairShare() {
+    Bench harness = safe("a", "b", "c", "d");
+    Map<String, Integer> sent = new HashMap<>();
     for (int i = 0; i < 60; i++) {
-      taken.merge(bench.open(i, "x" + i, "g"), 1, Integer::sum); // on three of four, each soon beyond its due
+      sent.merge(harness.open(i, "x" + i, "g"), 1, Integer::sum); // three of four soon exceed their fair share
     }
-    List<Integer> most = taken.values().stream().sorted(Comparator.reverseOrder()).toList();
-    assertTrue(most.get(0) - most.get(1) <= 6, "taken " + taken);
+    List<Integer> counts = sent.values().stream().sorted(Comparator.reverseOrder()).toList();
+    assertTrue(counts.get(0) - counts.get(1) <= 6, "connections by server: " + sent);
   }
 
-  /** Failure met: a server that held a few of every group seemed as free as one with as many of one group. */
+  /** Prevents a server with a few connections of every group from seeming as free as one with as many of one group. */
   @Test
-  void whatGroupsCostAServerCounts() {
-    Bench scout = safe("a", "b", "c", "d", "e", "f", "g", "h");
-    String first = scout.open(1, "x", "g");
-    scout.balancer.suspend(scout.now, first);
-    String second = scout.open(2, "y", "g");
-    scout.balancer.suspend(scout.now, second);
-    String third = scout.open(3, "z", "g");
-    Bench bench = safe("a", "b", "c", "d", "e", "f", "g", "h");
+  void numberOfGroupsCountsTowardsTheLoadOfAServer() {
+    Bench reference = safe("a", "b", "c", "d", "e", "f", "g", "h");
+    String first = reference.open(1, "x", "g");
+    reference.balancer.suspend(reference.now, first);
+    String second = reference.open(2, "y", "g");
+    reference.balancer.suspend(reference.now, second);
+    String third = reference.open(3, "z", "g");
+    Bench harness = safe("a", "b", "c", "d", "e", "f", "g", "h");
     for (int i = 0; i < 12; i++) {
-      bench.balancer.handover(bench.now, Bench.request(i, "x" + i, "other" + i, S), first);
-      bench.balancer.handover(bench.now, Bench.request(200 + i, "z" + i, "another" + i, S), third);
-      bench.balancer.handover(bench.now, Bench.request(100 + i, "y" + i, "other", S), second);
+      harness.balancer.handover(harness.now, Bench.request(i, "x" + i, "other" + i, S), first);
+      harness.balancer.handover(harness.now, Bench.request(200 + i, "z" + i, "another" + i, S), third);
+      harness.balancer.handover(harness.now, Bench.request(100 + i, "y" + i, "other", S), second);
     }
-    assertEquals(second, bench.open(300, "z", "g"), "as many connections, but of one group only");
+    assertEquals(second, harness.open(300, "z", "g"), "as many connections, but of a single group");
   }
 
-  /** Failure met: proxies restarted during a release had seen nothing end and sent next to nothing to cold servers. */
+  /** Prevents proxies that restarted during a release, and have seen no connection end, from starving cold servers. */
   @Test
-  void aBalancerJustStartedFillsAColdServerByWhatStandsHere() {
+  void newBalancerDerivesTheWarmUpBudgetFromItsOpenConnections() {
     int sent = 0;
     for (int seed = 0; seed < 20; seed++) {
-      Bench bench = safe(seed, "a", "b");
+      Bench harness = safe(seed, "a", "b");
       for (int i = 0; i < 20; i++) {
-        bench.open(i, "x" + i, null);
+        harness.open(i, "x" + i, null);
       }
-      bench.change(server("cold", State.READY, bench.now));
+      harness.change(server("cold", State.READY, harness.now));
       for (int i = 20; i < 40; i++) {
-        bench.pass(300 * MS);
-        sent += "cold".equals(bench.open(i, "x" + i, null)) ? 1 : 0;
+        harness.pass(300 * MS);
+        sent += "cold".equals(harness.open(i, "x" + i, null)) ? 1 : 0;
       }
     }
     assertTrue(sent >= 20, "sent " + sent);
   }
 
-  /** Failure met: a server unheard of since its clients were moved was filled by all balancers before it could tell. */
+  /**
+   * Prevents a slow server whose clients were all moved from being filled by all balancers at once: without connections
+   * it cannot report its delay.
+   */
   @Test
-  void aServerKnownAsSlowGetsOneClientUntilItHasHadTimeToTell() {
-    Bench bench = safe("a");
+  void slowServerWithoutConnectionsGetsOneClientUntilItHadTimeToReport() {
+    Bench harness = safe("a");
     for (int i = 0; i < 10; i++) {
-      bench.open(i, "x" + i, "g");
+      harness.open(i, "x" + i, "g");
     }
-    bench.balancer.delay(bench.now, 0, 0, 900 * MS);
-    bench.pass(20 * MS);
+    harness.balancer.delay(harness.now, 0, 0, 900 * MS);
+    harness.pass(20 * MS);
     for (int i = 0; i < 10; i++) {
-      bench.balancer.ended(bench.now, i, 0, Outcome.CANCELLED, S, true);
+      harness.balancer.ended(harness.now, i, 0, Outcome.CANCELLED, S, true);
     }
-    bench.pass(Policy.SLOW_MEMORY);
-    assertEquals("a", bench.open(20, "x20", "g"), "a trial");
-    assertNull(bench.ask(21, "x21", "g"));
-    bench.pass(Policy.SLOW_MEMORY);
-    assertEquals("a", bench.ask(22, "x22", "g"), "it had nothing to tell");
-    assertEquals("a", bench.ask(23, "x23", "g"));
+    harness.pass(Policy.SLOW_MEMORY);
+    assertEquals("a", harness.open(20, "x20", "g"), "a probe");
+    assertNull(harness.submit(21, "x21", "g"));
+    harness.pass(Policy.SLOW_MEMORY);
+    assertEquals("a", harness.submit(22, "x22", "g"), "it has reported no delay");
+    assertEquals("a", harness.submit(23, "x23", "g"));
   }
 
-  /** A server that has shed or jammed is not filled up again to the load at which it did. */
+  /** A server that dropped connections or was overloaded is not filled again to the load at which that happened. */
   @Test
-  void aServerIsHeldWellUnderTheLoadThatWasTooMuch() {
-    for (boolean sheds : new boolean[] {true, false}) {
-      Bench bench = safe("a");
+  void serverIsLimitedWellBelowTheLoadThatOverloadedIt() {
+    for (boolean dropsNewest : new boolean[] {true, false}) {
+      Bench harness = safe("a");
       for (int i = 0; i < 20; i++) {
-        bench.open(i, "x" + i, "g");
+        harness.open(i, "x" + i, "g");
       }
-      if (sheds) {
-        bench.balancer.ended(bench.now, 19, 0, Outcome.RESET, 300 * MS, true);
-        bench.pass(700 * MS); // over the time for which it is passed by
+      if (dropsNewest) {
+        harness.balancer.ended(harness.now, 19, 0, Outcome.RESET, 300 * MS, true);
+        harness.pass(700 * MS); // past its ejection
       } else {
-        bench.balancer.delay(bench.now, 0, 0, 60 * MS);
-        bench.pass(20 * MS);
-        bench.balancer.delay(bench.now, 0, 0, 5 * MS);
+        harness.balancer.delay(harness.now, 0, 0, 60 * MS);
+        harness.pass(20 * MS);
+        harness.balancer.delay(harness.now, 0, 0, 5 * MS);
       }
       for (int i = 15; i < 19; i++) {
-        bench.balancer.ended(bench.now, i, 0, Outcome.SERVED, S, true);
+        harness.balancer.ended(harness.now, i, 0, Outcome.SERVED, S, true);
       }
-      assertNull(bench.ask(30, "y", "g"), sheds ? "shed" : "jammed");
+      assertNull(harness.submit(30, "y", "g"), dropsNewest ? "dropped connections" : "was overloaded");
     }
   }
 }
--- a/proxy/src/test/java/amberhoist/decide/WorthTest.java
+++ b/proxy/src/test/java/amberhoist/decide/WorthTest.java
@@ -14,114 +14,118 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Who gets the room that is left at servers that were jammed before. */
+/** Which requests get the remaining capacity of servers that were overloaded before, by value and tenant share. */
 class WorthTest {
-  private static final double LOAD = 50_000;
+  private static final double LOAD_MICROS = 50_000; // of work per second
 
-  private static RequestClass type(String name, double worth) {
-    return new RequestClass(name, Effect.SAFE, Scope.ALL, 300 * MS, 0, worth, 100 * MS);
+  private static RequestClass requestClass(String name, double value) {
+    return new RequestClass(name, Effect.SAFE, Scope.ALL, 300 * MS, 0, value, 100 * MS);
   }
 
-  /** One server that jammed under thirty connections, of which two are left. */
-  private static Bench jammedOnce(Value value) {
-    return jammedOnce(value, 2);
+  /** One of two balancers, with one server that was overloaded by thirty connections, of which two are left. */
+  private static Bench withOverloadedServer(Value value) {
+    return withOverloadedServer(value, 2);
   }
 
-  private static Bench jammedOnce(Value value, int balancers) {
-    Bench bench = new Bench();
-    bench.start(new Balancer.Settings("z", 0, balancers, List.of(type("plain", 1), type("urgent", 3)), false, 10 * S, 4,
+  private static Bench withOverloadedServer(Value value, int balancers) {
+    Bench harness = new Bench();
+    harness.start(new Balancer.Settings("z", 0, balancers,
+        List.of(requestClass("plain", 1), requestClass("urgent", 3)), false, 10 * S, 4,
         600 * MS, 0.02, 0.02, 0.3, 9 * S, 2.5, 3 * S, value, false));
-    bench.full("a");
+    harness.full("a");
     for (long id = 0; id < 30; id++) {
-      ask(bench, id, "plain", "steady", LOAD);
-      bench.balancer.opened(bench.now, id, 0, 5 * MS);
+      submit(harness, id, "plain", "steady", LOAD_MICROS);
+      harness.balancer.opened(harness.now, id, 0, 5 * MS);
     }
-    bench.balancer.delay(bench.now, 0, 0, 200 * MS);
-    bench.pass(200 * MS);
+    harness.balancer.delay(harness.now, 0, 0, 200 * MS);
+    harness.pass(200 * MS);
     for (long id = 0; id < 28; id++) {
-      bench.balancer.ended(bench.now, id, 0, Balancer.Outcome.SERVED, 0, true);
+      harness.balancer.ended(harness.now, id, 0, Balancer.Outcome.SERVED, 0, true);
     }
-    bench.pass(Policy.SLOW_MEMORY);
-    return bench;
+    harness.pass(Policy.SLOW_MEMORY);
+    return harness;
   }
 
-  private static boolean ask(Bench bench, long id, String type, String tenant, double load) {
-    int before = bench.acts.size();
-    bench.balancer.request(bench.now,
-        new Request(id, type, tenant, "client" + id, bench.now + 1200 * MS, load, "g", false, false));
-    return bench.sentSince(before, id) != null;
+  private static boolean submit(Bench harness, long id, String type, String tenant, double load) {
+    int before = harness.acts.size();
+    harness.balancer.request(harness.now,
+        new Request(id, type, tenant, "client" + id, harness.now + 1200 * MS, load, "g", false, false));
+    return harness.sentSince(before, id) != null;
   }
 
-  /** How many of these follow each other in before there is no room for them. */
-  private static int taken(Bench bench, long from, String type, String tenant, double load) {
-    int taken = 0;
-    while (taken < 60 && ask(bench, from + taken, type, tenant, load)) {
-      bench.balancer.opened(bench.now, from + taken++, 0, 5 * MS);
-      bench.pass(100 * MS); // one of many paces its set-ups
+  /** Number of requests that are accepted one after the other until one finds no capacity; at most 60. */
+  private static int accepted(Bench harness, long firstId, String type, String tenant, double load) {
+    int count = 0;
+    while (count < 60 && submit(harness, firstId + count, type, tenant, load)) {
+      harness.balancer.opened(harness.now, firstId + count++, 0, 5 * MS);
+      harness.pass(100 * MS); // a balancer of a large fleet spaces its setups
     }
-    bench.pass(type("", 0).aim() + MS); // the one that was held is sent away
-    return taken;
+    harness.pass(requestClass("", 0).aim() + MS); // the queued request is rejected
+    return count;
   }
 
   @Test
-  void roomIsKeptForWhatIsWorthMore() {
-    Bench bench = jammedOnce(new Value(true, 1, Map.of()));
-    taken(bench, 100, "plain", "steady", LOAD);
-    int more = taken(bench, 200, "urgent", "steady", LOAD);
-    assertTrue(more >= 3 && more < 60, "after the plain ones there is room for some urgent ones: " + more);
-    assertEquals(0, taken(bench, 300, "plain", "steady", LOAD));
+  void capacityIsReservedForRequestsOfHigherValue() {
+    Bench harness = withOverloadedServer(new Value(true, 1, Map.of()));
+    accepted(harness, 100, "plain", "steady", LOAD_MICROS);
+    int more = accepted(harness, 200, "urgent", "steady", LOAD_MICROS);
+    assertTrue(more >= 3 && more < 60, "urgent requests accepted after the plain ones: " + more);
+    assertEquals(0, accepted(harness, 300, "plain", "steady", LOAD_MICROS));
   }
 
   @Test
-  void tenantBeyondItsShareLeavesRoomToTheOther() {
-    Bench bench = jammedOnce(new Value(true, 0.2, Map.of("steady", 1000.0, "bursting", 8.0)));
-    int first = taken(bench, 100, "urgent", "bursting", LOAD);
-    assertTrue(first >= 4, "its share of the two balancers' eight: " + first);
-    int other = taken(bench, 200, "urgent", "steady", LOAD);
-    assertTrue(other >= 3 && other < 60, "what is in its share goes before what is beyond one: " + other);
-    assertEquals(0, taken(bench, 300, "urgent", "bursting", LOAD));
+  void tenantBeyondItsShareLeavesCapacityToOthers() {
+    Bench harness = withOverloadedServer(new Value(true, 0.2, Map.of("steady", 1000.0, "bursting", 8.0)));
+    int first = accepted(harness, 100, "urgent", "bursting", LOAD_MICROS);
+    assertTrue(first >= 4, "its share is half of eight, for one of two balancers: " + first);
+    int other = accepted(harness, 200, "urgent", "steady", LOAD_MICROS);
+    assertTrue(other >= 3 && other < 60, "a tenant within its share is preferred to one beyond: " + other);
+    assertEquals(0, accepted(harness, 300, "urgent", "bursting", LOAD_MICROS));
   }
 
-  /** One of very many holds a connection or two at a server: a part of that kept back would be all of it. */
+  /** A balancer of a large fleet has one or two connections on a server: a reserved part of that would be all of it. */
   @Test
-  void oneOfManyKeepsNoRoomBack() {
-    Bench many = jammedOnce(new Value(true, 1, Map.of()), 40);
-    int plain = taken(many, 100, "plain", "steady", LOAD);
-    int ofFew = taken(jammedOnce(new Value(true, 1, Map.of())), 100, "plain", "steady", LOAD);
-    assertTrue(plain >= 1.4 * ofFew, "taken " + plain + ", by one of two " + ofFew);
+  void balancerOfALargeFleetReservesNoCapacity() {
+    Bench large = withOverloadedServer(new Value(true, 1, Map.of()), 40);
+    int plain = accepted(large, 100, "plain", "steady", LOAD_MICROS);
+    int ofSmallFleet = accepted(withOverloadedServer(new Value(true, 1, Map.of())), 100,
+        "plain", "steady", LOAD_MICROS);
+    assertTrue(plain >= 1.4 * ofSmallFleet, "accepted " + plain + ", in a fleet of two " + ofSmallFleet);
   }
 
-  /** Of a share of twelve connections here, chance brings sixteen at times: that is no excess. */
+  /** With a share of twelve connections per balancer, sixteen by chance do not count as beyond the share. */
   @Test
-  void chanceIsNoExcessOverAShare() {
+  void randomVariationDoesNotCountAsBeyondTheShare() {
     Map<String, Double> shares = Map.of("steady", 1000.0, "small", 48.0);
-    Bench bench = jammedOnce(new Value(true, 0.2, shares), 4);
-    Bench plenty = jammedOnce(new Value(true, 1, shares), 4);
-    int taken = taken(bench, 100, "urgent", "small", LOAD);
-    assertTrue(taken >= 16, "taken " + taken);
-    assertTrue(taken < taken(plenty, 100, "urgent", "small", LOAD), "but not many more");
+    Bench harness = withOverloadedServer(new Value(true, 0.2, shares), 4);
+    Bench unlimited = withOverloadedServer(new Value(true, 1, shares), 4);
+    int count = accepted(harness, 100, "urgent", "small", LOAD_MICROS);
+    assertTrue(count >= 16, "accepted " + count);
+    assertTrue(count < accepted(unlimited, 100, "urgent", "small", LOAD_MICROS),
+        "fewer than without a value reduction beyond the share");
   }
 
   @Test
-  void whereWorthDoesNotGrowWithWorkLightOnesGoFirst() {
-    Bench bench = jammedOnce(new Value(false, 1, Map.of()));
-    int heavy = taken(bench, 100, "urgent", "steady", 4 * LOAD);
-    int light = taken(bench, 200, "urgent", "steady", LOAD);
-    assertTrue(light >= 4 && light < 60, "room that no heavy one may have: " + light + " after " + heavy);
+  void lightConnectionsArePreferredWhenValueDoesNotGrowWithLoad() {
+    Bench harness = withOverloadedServer(new Value(false, 1, Map.of()));
+    int heavy = accepted(harness, 100, "urgent", "steady", 4 * LOAD_MICROS);
+    int light = accepted(harness, 200, "urgent", "steady", LOAD_MICROS);
+    assertTrue(light >= 4 && light < 60, "light requests accepted after the heavy ones: " + light + " after " + heavy);
   }
 
   @Test
-  void jammedServersLoseFirstWhatIsWorthLeast() {
-    Bench bench = new Bench();
-    bench.start(Bench.settings(false, new Value(true, 1, Map.of()), type("plain", 1), type("urgent", 3)));
-    bench.full("a");
+  void overloadedServerMovesConnectionsOfLowestValueFirst() {
+    Bench harness = new Bench();
+    harness.start(Bench.settings(false, new Value(true, 1, Map.of()),
+        requestClass("plain", 1), requestClass("urgent", 3)));
+    harness.full("a");
     for (long id = 0; id < 30; id++) {
-      ask(bench, id, id % 2 == 0 ? "urgent" : "plain", "steady", LOAD);
-      bench.balancer.opened(bench.now, id, 0, 5 * MS);
+      submit(harness, id, id % 2 == 0 ? "urgent" : "plain", "steady", LOAD_MICROS);
+      harness.balancer.opened(harness.now, id, 0, 5 * MS);
     }
-    bench.balancer.delay(bench.now, 0, 0, 200 * MS);
-    bench.pass(200 * MS);
-    List<Bench.Act> moves = bench.acts.stream().filter(act -> act.what().equals("move")).toList();
+    harness.balancer.delay(harness.now, 0, 0, 200 * MS);
+    harness.pass(200 * MS);
+    List<Bench.Act> moves = harness.acts.stream().filter(act -> act.what().equals("move")).toList();
     assertTrue(moves.size() >= 5 && moves.stream().allMatch(act -> act.request() % 2 == 1), "moved " + moves);
   }
 }
