--- a/proxy/src/test/java/amberhoist/decide/Bench.java
+++ b/proxy/src/test/java/amberhoist/decide/Bench.java
@@ -128,18 +128,18 @@
   /** The server of the request's first send from action {@code before} on, or null if there is none. */
   String sentSince(int before, long id) {
     return acts.subList(before, acts.size()).stream()
-        .filter(act -> act.what().equals("send") && act.request() == id)
+        .filter(action -> action.what().equals("send") && action.request() == id)
         .map(Act::server)
         .findFirst()
         .orElse(null);
   }
 
   long count(String what) {
-    return acts.stream().filter(act -> act.what().equals(what)).count();
+    return acts.stream().filter(action -> action.what().equals(what)).count();
   }
 
   long count(String what, long id) {
-    return acts.stream().filter(act -> act.what().equals(what) && act.request() == id).count();
+    return acts.stream().filter(action -> action.what().equals(what) && action.request() == id).count();
   }
 
   /** Advances the clock by {@code micros} and runs each timer that falls due. */
--- a/proxy/src/test/java/amberhoist/decide/PolicyTest.java
+++ b/proxy/src/test/java/amberhoist/decide/PolicyTest.java
@@ -250,7 +250,7 @@
     assertEquals(0, harness.count("refuse", 2), "queued within its setup target");
     harness.pass(200 * MS);
     assertEquals(1, harness.count("refuse", 2));
-    assertTrue(harness.acts.stream().anyMatch(a -> a.what().equals("refuse") && a.amount() > 0));
+    assertTrue(harness.acts.stream().anyMatch(action -> action.what().equals("refuse") && action.amount() > 0));
   }
 
   @Test
@@ -367,7 +367,7 @@
 
   /** Number of actions from action {@code before} on that concern a server. */
   private static long sentTo(Bench harness, int before, String server) {
-    return harness.acts.stream().skip(before).filter(a -> server.equals(a.server())).count();
+    return harness.acts.stream().skip(before).filter(action -> server.equals(action.server())).count();
   }
 
   @Test
@@ -505,9 +505,9 @@
   private static int failSends(Bench harness, Map<Long, Integer> attempts, int from, Outcome outcome) {
     int next = from;
     for (; next < harness.acts.size(); next++) {
-      Bench.Act act = harness.acts.get(next);
-      if (act.isSend()) {
-        harness.failAttempt(act.request(), attempts.merge(act.request(), 1, Integer::sum) - 1, outcome);
+      Bench.Act action = harness.acts.get(next);
+      if (action.isSend()) {
+        harness.failAttempt(action.request(), attempts.merge(action.request(), 1, Integer::sum) - 1, outcome);
       }
     }
     return next;
--- a/proxy/src/test/java/amberhoist/decide/ReportsTest.java
+++ b/proxy/src/test/java/amberhoist/decide/ReportsTest.java
@@ -28,7 +28,7 @@
 
   /** The servers that were asked for a load report, in order. */
   private static List<String> reportsRequested(Bench harness) {
-    return harness.acts.stream().filter(act -> act.what().equals("ask"))
+    return harness.acts.stream().filter(action -> action.what().equals("ask"))
         .map(Bench.Act::server).toList();
   }
 
@@ -70,7 +70,7 @@
     harness.submit(1, "k", "g");
     harness.pass(Policy.ASK_WAIT + 2 * Policy.TICK);
     assertEquals(1, harness.count("send"));
-    assertTrue(harness.acts.stream().noneMatch(act -> act.what().equals("refuse")));
+    assertTrue(harness.acts.stream().noneMatch(action -> action.what().equals("refuse")));
   }
 
   @Test
--- a/proxy/src/test/java/amberhoist/decide/RulesTest.java
+++ b/proxy/src/test/java/amberhoist/decide/RulesTest.java
@@ -53,7 +53,7 @@
   private final Map<Long, TrackedRequest> requests = new LinkedHashMap<>();
   private final Map<String, Server> servers = new HashMap<>();
   private final Map<String, List<Long>> coldSends = new HashMap<>();
-  private int checkedActs;
+  private int checkedActions;
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
@@ -161,23 +161,23 @@
   }
 
   private void checkActions() {
-    for (; checkedActs < harness.acts.size(); checkedActs++) {
-      Bench.Act act = harness.acts.get(checkedActs);
-      TrackedRequest tracked = requests.get(act.request());
-      switch (act.what()) {
-        case "send" -> checkSend(tracked, act);
-        case "refuse", "fail" -> checkAnswer(tracked, act.what());
+    for (; checkedActions < harness.acts.size(); checkedActions++) {
+      Bench.Act action = harness.acts.get(checkedActions);
+      TrackedRequest tracked = requests.get(action.request());
+      switch (action.what()) {
+        case "send" -> checkSend(tracked, action);
+        case "refuse", "fail" -> checkAnswer(tracked, action.what());
         case "move" -> checkMove(tracked);
         default -> { }
       }
     }
   }
 
-  private void checkSend(TrackedRequest tracked, Bench.Act act) {
+  private void checkSend(TrackedRequest tracked, Bench.Act action) {
     assertFalse(tracked.answered, "rule 1: sent after the answer");
     assertTrue(harness.now < tracked.request.deadline(), "rule 1: sent after the deadline");
     assertFalse(tracked.inFlight, "rule 2: overlapping attempts");
-    Server server = servers.get(act.server());
+    Server server = servers.get(action.server());
     assertEquals(State.READY, server.state(), "rule 3: sent to a server that is not ready");
     if (tracked.mayHaveRun) {
       assertFalse(tracked.effect == Effect.UNSAFE, "rule 2: unsafe request retried");
@@ -190,7 +190,7 @@
       tracked.firstRunAt = harness.now;
     }
     if (server.since() > 0 && harness.now - server.since() < 9 * S) {
-      List<Long> times = coldSends.computeIfAbsent(act.server(), name -> new ArrayList<>());
+      List<Long> times = coldSends.computeIfAbsent(action.server(), name -> new ArrayList<>());
       times.add(harness.now);
       long window = times.stream().filter(at -> harness.now - at < 3 * S).count();
       // Approximates multiple x capacity x window: fewer than plain rotation would send here in that time.
@@ -198,7 +198,7 @@
     }
     tracked.attempts++;
     tracked.inFlight = true;
-    tracked.timeoutAt = Math.min(harness.now + act.amount(), tracked.request.deadline());
+    tracked.timeoutAt = Math.min(harness.now + action.amount(), tracked.request.deadline());
   }
 
   private void checkAnswer(TrackedRequest tracked, String what) {
--- a/proxy/src/test/java/amberhoist/decide/StormTest.java
+++ b/proxy/src/test/java/amberhoist/decide/StormTest.java
@@ -30,7 +30,7 @@
    */
   private static double averageInFlight(Bench harness, long latency, boolean succeeds) {
     long startedAt = harness.now;
-    int nextAct = harness.acts.size();
+    int nextAction = harness.acts.size();
     long[] ends = new long[4000];
     long[] ids = new long[4000];
     int sent = 0;
@@ -42,9 +42,9 @@
       }
       for (int step = 0; step < 2; step++) {
         harness.pass(20 * Bench.MS);
-        for (; nextAct < harness.acts.size(); nextAct++) {
-          if (harness.acts.get(nextAct).isSend()) {
-            ids[sent] = harness.acts.get(nextAct).request();
+        for (; nextAction < harness.acts.size(); nextAction++) {
+          if (harness.acts.get(nextAction).isSend()) {
+            ids[sent] = harness.acts.get(nextAction).request();
             ends[sent++] = harness.now + latency;
           }
         }
--- a/proxy/src/test/java/amberhoist/decide/WorthTest.java
+++ b/proxy/src/test/java/amberhoist/decide/WorthTest.java
@@ -125,7 +125,8 @@
     }
     harness.balancer.delay(harness.now, 0, 0, 200 * MS);
     harness.pass(200 * MS);
-    List<Bench.Act> moves = harness.acts.stream().filter(act -> act.what().equals("move")).toList();
-    assertTrue(moves.size() >= 5 && moves.stream().allMatch(act -> act.request() % 2 == 1), "moved " + moves);
+    List<Bench.Act> moves = harness.acts.stream()
+        .filter(action -> action.what().equals("move")).toList();
+    assertTrue(moves.size() >= 5 && moves.stream().allMatch(action -> action.request() % 2 == 1), "moved " + moves);
   }
 }
