--- a/proxy/src/main/java/amberhoist/metrics/Counters.java
+++ b/proxy/src/main/java/amberhoist/metrics/Counters.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** What the proxy has taken in, sent and answered so far. Owned by the loop's thread. */
+/** Counters of the proxy's work since its start. Confined to the event loop's thread. */
 public final class Counters {
-  /** The things that are counted. */
+  /** The counted events. Each is exported as a metric under its name in lower case. */
   public enum Count {
     ACCEPTED,
     ACCEPT_FAILED,
@@ -52,40 +52,40 @@
   private final Map<Count, Long> counts = new EnumMap<>(Count.class);
   private final Outcomes outcomes = new Outcomes();
 
-  /** What became of the connections asked for, by class. */
+  /** The outcomes of the connections that clients requested, by class. */
   public Outcomes outcomes() {
     return outcomes;
   }
 
-  /** Counts one more. */
+  /** Adds one to a counter. */
   public void add(Count count) {
     counts.merge(count, 1L, Long::sum);
   }
 
-  /** How many so far. */
+  /** The current value of a counter. */
   public long get(Count count) {
     return counts.getOrDefault(count, 0L);
   }
 
-  /** All counts that are not zero, by their names in small letters. */
+  /** All counters that are not zero, by their names in lower case. */
   public Map<String, Long> all() {
     Map<String, Long> all = new LinkedHashMap<>();
-    counts.forEach((count, number) -> all.put(count.name().toLowerCase(Locale.ROOT), number));
+    counts.forEach((count, value) -> all.put(count.name().toLowerCase(Locale.ROOT), value));
     return all;
   }
 
   /**
-   * States what must hold at this point: an assertion in debug builds (java -ea), a count in release builds,
-   * where the proxy carries on.
+   * Checks an invariant. A violation throws an {@link AssertionError} if assertions are enabled (java -ea); otherwise
+   * it is counted and the proxy continues.
    */
-  public void invariant(boolean holds, String what) {
-    assert holds : what;
+  public void invariant(boolean holds, String message) {
+    assert holds : message;
     if (!holds) {
       add(Count.BROKEN_INVARIANTS);
     }
   }
 
-  /** All counts that are not zero, on one line. */
+  /** All counters that are not zero, on one line. */
   @Override
   public String toString() {
     return all().entrySet().stream().map(e -> e.getKey() + '=' + e.getValue())
--- a/proxy/src/main/java/amberhoist/metrics/Latencies.java
+++ b/proxy/src/main/java/amberhoist/metrics/Latencies.java
@@ -3,19 +3,19 @@
 import org.HdrHistogram.IntCountsHistogram;
 
 /**
- * How long things took, in microseconds, to two significant digits. Owned by the loop's thread. Each histogram
- * takes about 10 KB.
+ * Histograms of durations in microseconds, to two significant digits. Confined to the event loop's thread. Each
+ * histogram takes about 10 KB.
  */
 public final class Latencies {
-  /** The things that are timed. */
+  /** The measured durations. Each is exported as a metric under its name in lower case. */
   public enum Span {
-    /** From a client's first line to its join with a provider. */
+    /** From a client's open request to the UP of its provider. */
     SETUP("from an invocation's arrival to its UP"),
-    /** From a client's first line to a rejection or failure. */
+    /** From a client's open request to its rejection or failure. */
     TURNED_AWAY("from an invocation's arrival to its rejection or failure"),
-    /** One attempt, however it ended. */
+    /** From the start of an attempt to its end, whatever its outcome. */
     CALL("one attempt, however it ended"),
-    /** How late the wheel's tick came. */
+    /** How late a tick of the event loop's timer wheel came. */
     LOOP_LAG("how late the loop's tick came");
 
     private final String meaning;
@@ -24,31 +24,31 @@
       this.meaning = meaning;
     }
 
-    /** What it times, for the metrics page. */
+    /** The help text on the metrics page. */
     public String meaning() {
       return meaning;
     }
   }
 
-  private static final long LONGEST = 120_000_000;
-  private static final int DIGITS = 2;
+  private static final long MAX_MICROS = 120_000_000;
+  private static final int SIGNIFICANT_DIGITS = 2;
 
-  private final IntCountsHistogram[] spans = new IntCountsHistogram[Span.values().length];
+  private final IntCountsHistogram[] histograms = new IntCountsHistogram[Span.values().length];
 
-  /** Empty histograms. */
+  /** Creates empty histograms. */
   public Latencies() {
-    for (int i = 0; i < spans.length; i++) {
-      spans[i] = new IntCountsHistogram(LONGEST, DIGITS);
+    for (int i = 0; i < histograms.length; i++) {
+      histograms[i] = new IntCountsHistogram(MAX_MICROS, SIGNIFICANT_DIGITS);
     }
   }
 
-  /** Counts one that took so many microseconds. */
+  /** Records a duration; values outside 0 to 120 seconds are clamped. */
   public void record(Span span, long micros) {
-    spans[span.ordinal()].recordValue(Math.max(0, Math.min(LONGEST, micros)));
+    histograms[span.ordinal()].recordValue(Math.max(0, Math.min(MAX_MICROS, micros)));
   }
 
-  /** A copy for another thread. */
+  /** Returns a copy, which another thread may use. */
   public IntCountsHistogram copy(Span span) {
-    return spans[span.ordinal()].copy();
+    return histograms[span.ordinal()].copy();
   }
 }
--- a/proxy/src/main/java/amberhoist/metrics/Outcomes.java
+++ b/proxy/src/main/java/amberhoist/metrics/Outcomes.java
@@ -5,74 +5,73 @@
 import java.util.Map;
 
 /**
- * What became of the connections that clients asked for, by class: all that were taken are either in set-up or have
- * one outcome, which is counted once. Owned by the loop's thread. Other classes than those of the settings are not
- * counted, so that bad clients cannot make it grow.
+ * Counts the connections that clients requested, and the outcomes of their setup, by class. Each requested connection
+ * is either in setup or has one outcome, which is counted once. Classes that are not in the settings are not counted,
+ * so that misbehaving clients cannot make the table grow. Confined to the event loop's thread.
  */
 public final class Outcomes {
-  /** How the set-up of a connection ended. */
+  /** How the setup of a connection ended. */
   public enum Outcome {
-    /** It was brought up. */
+    /** Established: the provider answered UP. */
     SERVED,
-    /** It was rejected, or its client left before the answer. */
+    /** Rejected, or the client disconnected before the answer. */
     REFUSED,
-    /** It failed. */
     FAILED
   }
 
-  private final Map<String, long[]> taken = new LinkedHashMap<>();
+  private final Map<String, long[]> countsByClass = new LinkedHashMap<>();
   private long attempts;
 
-  /** These classes are counted from now on; what has been counted of others stays. */
+  /** Adds classes to count; counts of earlier classes stay. */
   public void classes(Collection<String> names) {
-    names.forEach(name -> taken.computeIfAbsent(name, none -> new long[1 + Outcome.values().length]));
+    names.forEach(name -> countsByClass.computeIfAbsent(name, key -> new long[1 + Outcome.values().length]));
   }
 
-  /** A client has asked for a connection of this class. */
+  /** Counts a connection of this class that a client requested. */
   public void taken(String type) {
-    add(type, 0);
+    increment(type, 0);
   }
 
-  /** The set-up of a connection of this class has ended; it comes once for each that was taken. */
+  /** Counts the end of a setup; to be called once for each requested connection. */
   public void ended(String type, Outcome outcome) {
-    add(type, 1 + outcome.ordinal());
+    increment(type, 1 + outcome.ordinal());
   }
 
-  private void add(String type, int at) {
-    long[] counts = taken.get(type);
+  private void increment(String type, int index) {
+    long[] counts = countsByClass.get(type);
     if (counts != null) {
-      counts[at]++;
+      counts[index]++;
     }
   }
 
-  /** The line of an attempt has been written whole to a provider. */
+  /** Counts an attempt whose open request was completely written to a provider. */
   public void attempted() {
     attempts++;
   }
 
-  /** How many lines of attempts were written whole. */
+  /** The number of attempts whose open request was completely written. */
   public long attempts() {
     return attempts;
   }
 
-  /** How many connections were taken, by class. */
+  /** The number of requested connections, by class. */
   public Map<String, Long> takenByClass() {
     return column(0);
   }
 
-  /** How many had this outcome, by class. */
+  /** The number of connections with this outcome, by class. */
   public Map<String, Long> byClass(Outcome outcome) {
     return column(1 + outcome.ordinal());
   }
 
-  private Map<String, Long> column(int at) {
+  private Map<String, Long> column(int index) {
     Map<String, Long> column = new LinkedHashMap<>();
-    taken.forEach((name, counts) -> column.put(name, counts[at]));
+    countsByClass.forEach((type, counts) -> column.put(type, counts[index]));
     return column;
   }
 
-  /** How many are in set-up. */
+  /** The number of connections in setup. */
   public long settingUp() {
-    return taken.values().stream().mapToLong(counts -> counts[0] - counts[1] - counts[2] - counts[3]).sum();
+    return countsByClass.values().stream().mapToLong(counts -> counts[0] - counts[1] - counts[2] - counts[3]).sum();
   }
 }
