--- a/proxy/src/main/java/amberhoist/core/Arrival.java
+++ b/proxy/src/main/java/amberhoist/core/Arrival.java
@@ -1,17 +1,17 @@
 package amberhoist.core;
 
 /**
- * What a front tells the core of an invocation that has arrived, whatever protocol it came in.
+ * A client's request for a connection, as a front hands it to the core, whatever protocol it came in.
  *
- * @param type the class
- * @param tenant the account, null where there is none
- * @param key the flow's key
- * @param group the client or the group it belongs to, null where there is none
+ * @param type the class of the request
+ * @param tenant the account, null if there is none
+ * @param key the affinity key of the flow
+ * @param group the client or the group it belongs to, null if there is none
  * @param waitMillis how long the client waits for its answer
- * @param hint the guess at the load, microseconds of work a second, 0 where there is none
- * @param retry marked as a retry
- * @param returning the client's connection was moved or broke
- * @param provider where the connection already stands, null for a new one
+ * @param hint the expected load in microseconds of work a second, 0 if unknown
+ * @param retry whether the client marked this as a retry
+ * @param returning whether the client's connection was moved or broke
+ * @param provider the provider that already has the connection, null for a new connection
  */
 public record Arrival(String type, String tenant, String key, String group, long waitMillis, double hint,
     boolean retry, boolean returning, String provider) {}
--- a/proxy/src/main/java/amberhoist/core/Commands.java
+++ b/proxy/src/main/java/amberhoist/core/Commands.java
@@ -1,42 +1,37 @@
 package amberhoist.core;
 
 /**
- * What the core wants done on the outside. Connections are known to it by number only; a command on one that
- * is already gone does nothing. A command may bring about events at once: the core takes them up after the
- * event that it is handling.
+ * The I/O that the core requests. It refers to connections by their ids only; a command for a connection that no longer
+ * exists does nothing. Events that a command causes at once are handled after the core's current event.
  */
 public interface Commands {
-  /**
-   * Starts an attempt: connects to a provider.
-   *
-   * @return the number of the new provider connection, or {@link SlotTable#NONE} if none could be started
-   */
-  long dial(long invocation, long client, String provider);
+  /** Starts an attempt: connects to a provider. Returns the connection's id, {@link SlotTable#NONE} if none started. */
+  long dial(long invocationId, long clientId, String provider);
 
-  /** Forwards the client's first line on a connection that stands; the proxy will wait so long for more. */
-  void forward(long provider, long millis);
+  /** Forwards the open request to a connected provider, which has {@code waitMillis} to answer. */
+  void forward(long connectionId, long waitMillis);
 
   /** Closes a provider connection, which ends the attempt on it. */
-  void abandon(long provider);
+  void abandon(long connectionId);
 
-  /** Joins client and provider, which has answered UP: from now on lines pass both ways. */
-  void join(long client, long provider);
+  /** Relays lines in both directions between a client and a provider that has answered UP. */
+  void join(long clientId, long connectionId);
 
-  /** Answers a client with a rejection and closes; {@code retryAfter} micros, 0 for no advice. */
-  void reject(long client, long retryAfter);
+  /** Sends a client a rejection and closes; {@code retryAfter} in microseconds, 0 for none. */
+  void reject(long clientId, long retryAfter);
 
   /** Answers a client that its invocation has failed and closes. */
-  void fail(long client);
+  void fail(long clientId);
 
-  /** Tells a client between two lines to move and closes it. */
-  void move(long client);
+  /** Sends a client MOVE, between two lines, and closes. */
+  void move(long clientId);
 
   /** Makes sure that the directory is watched. */
   void watch();
 
-  /** Asks a provider for its load report; {@link Core#report} takes it, should one come. */
+  /** Requests a provider's load report; {@link Core#report} takes it if one arrives. */
   void ask(String provider);
 
-  /** A line for the operator's log. */
+  /** Writes a line to the operator's log. */
   void log(String message);
 }
--- a/proxy/src/main/java/amberhoist/core/EventQueue.java
+++ b/proxy/src/main/java/amberhoist/core/EventQueue.java
@@ -2,35 +2,35 @@
 
 import java.util.ArrayDeque;
 
-/** The core's events, one after the other: one that comes up while another is handled waits until that is done. */
+/** Runs the core's events one after another: an event raised while another runs is queued until that one is done. */
 final class EventQueue {
   private final ArrayDeque<Runnable> events = new ArrayDeque<>();
-  private boolean busy;
+  private boolean running;
   private long now;
 
-  /** Runs an event now, or after the one at hand. */
-  void run(long time, Runnable body) {
-    events.add(body);
-    if (busy) {
+  /** Runs an event now, or after those already running or queued; {@code time} in microseconds. */
+  void run(long time, Runnable event) {
+    events.add(event);
+    if (running) {
       return;
     }
-    busy = true;
+    running = true;
     now = Math.max(now, time);
     try {
       for (Runnable next = events.poll(); next != null; next = events.poll()) {
         next.run();
       }
     } finally {
-      busy = false;
+      running = false;
     }
   }
 
-  /** Runs this after the event at hand. */
-  void after(Runnable body) {
-    events.add(body);
+  /** Queues an event to run after the current one. */
+  void after(Runnable event) {
+    events.add(event);
   }
 
-  /** The time of the event at hand: never earlier than that of any before it. */
+  /** The time of the current event in microseconds, never earlier than that of any previous event. */
   long now() {
     return now;
   }
--- a/proxy/src/main/java/amberhoist/core/Limits.java
+++ b/proxy/src/main/java/amberhoist/core/Limits.java
@@ -3,12 +3,12 @@
 import java.util.Set;
 
 /**
- * Figures of the deployment that only the proxy needs, in microseconds.
+ * Limits of the deployment that only the proxy applies. Times are in microseconds.
  *
- * @param dial a provider connection not standing by then could not connect
- * @param longest the longest time that a client waits
- * @param types the classes that the settings name; none means any
- * @param tenants the tenants that they name; none means any
+ * @param dial timeout for connecting to a provider
+ * @param longest the longest time that a client waits for its answer
+ * @param types the known classes; empty if any is accepted
+ * @param tenants the known tenants; empty if any is accepted
  */
 public record Limits(long dial, long longest, Set<String> types, Set<String> tenants) {
   boolean names(Arrival arrival) {
--- a/proxy/src/main/java/amberhoist/core/SlotTable.java
+++ b/proxy/src/main/java/amberhoist/core/SlotTable.java
@@ -5,13 +5,13 @@
 import java.util.function.LongConsumer;
 
 /**
- * A table of numbered slots. A number holds the slot's index and its generation, which grows each time the
- * slot is given up: a late completion that still carries an old number finds nothing, whoever has it now.
+ * A table of slots with ids. An id holds the slot's index and its generation, which grows each time the slot is freed:
+ * a late completion that still carries an old id finds nothing, even if the slot is in use again.
  *
- * @param <T> what a slot holds
+ * @param <T> the type of the values
  */
 public final class SlotTable<T> {
-  /** A number that no slot ever has. */
+  /** An id that no slot ever has. */
   public static final long NONE = 0;
 
   private static final int INDEX_BITS = 20;
@@ -19,52 +19,52 @@
 
   private final List<T> values = new ArrayList<>();
   private final List<Long> generations = new ArrayList<>();
-  private final List<Integer> free = new ArrayList<>();
+  private final List<Integer> freeIndexes = new ArrayList<>();
 
-  /** Takes a free slot for a value and gives its number. */
+  /** Stores a value in a free slot and returns its id. */
   public long add(T value) {
-    if (free.isEmpty()) {
+    if (freeIndexes.isEmpty()) {
       if (values.size() > INDEX_MASK) {
         throw new IllegalStateException("slot table is full");
       }
-      free.add(values.size());
+      freeIndexes.add(values.size());
       values.add(null);
       generations.add(1L);
     }
-    int index = free.remove(free.size() - 1);
+    int index = freeIndexes.remove(freeIndexes.size() - 1);
     values.set(index, value);
     return generations.get(index) << INDEX_BITS | index;
   }
 
-  /** The value with this number, or null when it has been given up. */
-  public T get(long number) {
-    int index = (int) (number & INDEX_MASK);
-    boolean current = index < values.size() && generations.get(index) == number >>> INDEX_BITS;
+  /** Returns the value with this id, or null if the id is no longer in use. */
+  public T get(long id) {
+    int index = (int) (id & INDEX_MASK);
+    boolean current = index < values.size() && generations.get(index) == id >>> INDEX_BITS;
     return current ? values.get(index) : null;
   }
 
-  /** Gives up a slot and returns what it held, or null when that number is no longer in use. */
-  public T remove(long number) {
-    T value = get(number);
+  /** Frees a slot and returns its value, or null if the id is no longer in use. */
+  public T remove(long id) {
+    T value = get(id);
     if (value != null) {
-      int index = (int) (number & INDEX_MASK);
+      int index = (int) (id & INDEX_MASK);
       values.set(index, null);
       generations.set(index, generations.get(index) + 1);
-      free.add(index);
+      freeIndexes.add(index);
     }
     return value;
   }
 
-  /** How many slots are in use. */
+  /** The number of slots in use. */
   public int size() {
-    return values.size() - free.size();
+    return values.size() - freeIndexes.size();
   }
 
-  /** Calls with every number in use, by index; the table may change meanwhile. */
-  public void forEach(LongConsumer each) {
+  /** Calls the action with every id in use, ordered by index; the action may change the table. */
+  public void forEach(LongConsumer action) {
     for (int index = 0; index < values.size(); index++) {
       if (values.get(index) != null) {
-        each.accept(generations.get(index) << INDEX_BITS | index);
+        action.accept(generations.get(index) << INDEX_BITS | index);
       }
     }
   }
--- a/proxy/src/main/java/amberhoist/core/Telemetry.java
+++ b/proxy/src/main/java/amberhoist/core/Telemetry.java
@@ -2,36 +2,33 @@
 
 import amberhoist.decide.Balancer.Outcome;
 
-/** What the core tells of its work beside the counters; it must return at once and call nothing back. */
+/** Receives single events of the core, beside the counters. An implementation must not block or call the core. */
 public interface Telemetry {
-  /** How an invocation was answered. */
+  /** The kind of the final answer to an invocation. */
   enum Answer {
-    /** Joined to a provider. */
     UP,
-    /** Rejected. */
     REJECTION,
-    /** Failed. */
     FAILURE
   }
 
-  /** Tells nobody. */
+  /** Discards all events. */
   Telemetry NONE = new Telemetry() {
     @Override
-    public void called(long invocation, String provider, Outcome outcome, long micros) {}
+    public void called(long invocationId, String provider, Outcome outcome, long micros) {}
 
     @Override
-    public void answered(long invocation, Answer answer, long micros) {}
+    public void answered(long invocationId, Answer answer, long micros) {}
 
     @Override
-    public void silent(long invocation, String provider) {}
+    public void silent(long invocationId, String provider) {}
   };
 
-  /** An attempt ended after so long; {@code outcome} is null when the provider answered UP. */
-  void called(long invocation, String provider, Outcome outcome, long micros);
+  /** An attempt ended after {@code micros}; {@code outcome} is null if the provider answered UP. */
+  void called(long invocationId, String provider, Outcome outcome, long micros);
 
-  /** An invocation got its final answer, so long after it arrived. */
-  void answered(long invocation, Answer answer, long micros);
+  /** An invocation got its final answer {@code micros} after it arrived. */
+  void answered(long invocationId, Answer answer, long micros);
 
-  /** A provider returns nothing; this invocation, joined to it, is moved. */
-  void silent(long invocation, String provider);
+  /** A provider is silent; this invocation, established with it, is moved. */
+  void silent(long invocationId, String provider);
 }
--- a/proxy/src/main/java/amberhoist/core/Timing.java
+++ b/proxy/src/main/java/amberhoist/core/Timing.java
@@ -1,19 +1,19 @@
 package amberhoist.core;
 
 /**
- * The core's own times, in microseconds. The operator's file may set them.
+ * The core's own times, in microseconds, which the operator's file may set.
  *
- * @param answerMargin answers leave this long before the client gives up: its clock started before the line came
- * @param silence a client line that no line follows for this long: the provider is silent
+ * @param answerMargin time from an answer to the client's deadline: its clock started before its line came
+ * @param silence a provider is silent if no line follows a client line within this time
  * @param quiet the same where several connections to one provider are affected
- * @param stopRouted into a stop: the front may still send clients here
- * @param stopHold into a stop: clients are moved from then on, see {@link Stopping}
- * @param stopLongest a longer deadline counts as this when stopping
- * @param stopAdvice what a client rejected by a stop is told to wait
+ * @param stopRouted how long after the begin of a stop the front may still send clients here
+ * @param stopHold how long after the begin of a stop clients are first moved, see {@link Stopping}
+ * @param stopLongest the upper bound on client deadlines that a stop takes into account
+ * @param stopAdvice the retry-after of clients that a stop rejects
  */
 public record Timing(long answerMargin, long silence, long quiet, long stopRouted, long stopHold,
     long stopLongest, long stopAdvice) {
-  /** What holds where nothing else is set. */
+  /** The times that apply unless the operator's file sets others. */
   public static final Timing DEFAULT =
       new Timing(10_000, 3_000_000, 500_000, 450_000, 1_700_000, 3_000_000, 300_000);
 }
--- a/proxy/src/main/java/amberhoist/core/Wheel.java
+++ b/proxy/src/main/java/amberhoist/core/Wheel.java
@@ -1,14 +1,14 @@
 package amberhoist.core;
 
 /**
- * All deadlines, on a wheel of coarse ticks. A timer fires in the first advance at or past its time, by whole
- * ticks, so up to one tick late and never early. It reads no clock: {@link #advance} brings the time.
+ * A timer wheel with coarse ticks. A timer fires in the first advance at or past its time, rounded up to a whole tick:
+ * up to one tick late and never early. Reads no clock: {@link #advance} brings the time, in microseconds.
  */
 public final class Wheel {
-  /** What a timer does, given the clock's time at which it fires. */
+  /** The action of a timer. */
   @FunctionalInterface
   public interface Task {
-    /** Runs once, at or after the time asked for. */
+    /** Runs once, at or after the time asked for; {@code now} is the time at which the timer fires. */
     void run(long now);
   }
 
@@ -16,8 +16,8 @@
   public static final class Timer {
     private final long tick;
     private final Task task;
-    private Timer before;
-    private Timer after;
+    private Timer previous;
+    private Timer next;
 
     private Timer(long tick, Task task) {
       this.tick = tick;
@@ -25,72 +25,69 @@
     }
 
     private void unlink() {
-      before.after = after;
-      after.before = before;
-      before = null;
-      after = null;
+      previous.next = next;
+      next.previous = previous;
+      previous = null;
+      next = null;
     }
 
-    /** Takes the timer off the wheel; harmless after it has fired. */
+    /** Cancels the timer; does nothing if it has fired or was cancelled. */
     public void cancel() {
-      if (before != null) {
+      if (previous != null) {
         unlink();
       }
     }
   }
 
-  private static final int SPOKES = 1024;
+  private static final int BUCKET_COUNT = 1024;
 
   private final long tickMicros;
-  private final Timer[] spokes = new Timer[SPOKES];
-  private long done; // the last tick of which all timers have fired
-  private long current; // the tick at hand
+  private final Timer[] buckets = new Timer[BUCKET_COUNT]; // sentinels of circular lists
+  private long completedTick; // the last tick of which all timers have fired
+  private long currentTick;
 
-  /** A wheel whose ticks last so many microseconds, at this time of the clock. */
+  /** Creates a wheel with ticks of this length, at this time of the clock. */
   public Wheel(long tickMicros, long now) {
     this.tickMicros = tickMicros;
-    done = now / tickMicros;
-    current = done;
-    for (int i = 0; i < SPOKES; i++) {
-      Timer rim = new Timer(0, null);
-      rim.before = rim;
-      rim.after = rim;
-      spokes[i] = rim;
+    completedTick = now / tickMicros;
+    currentTick = completedTick;
+    for (int i = 0; i < BUCKET_COUNT; i++) {
+      Timer sentinel = new Timer(0, null);
+      sentinel.previous = sentinel;
+      sentinel.next = sentinel;
+      buckets[i] = sentinel;
     }
   }
 
   /** Arms a timer; one whose time has passed fires in the next advance that reaches a new tick. */
   public Timer arm(long at, Task task) {
-    long tick = Math.max(current + 1, (at + tickMicros - 1) / tickMicros);
+    long tick = Math.max(currentTick + 1, (at + tickMicros - 1) / tickMicros);
     Timer timer = new Timer(tick, task);
-    Timer rim = spokes[(int) (tick % SPOKES)];
-    timer.before = rim.before;
-    timer.after = rim;
-    rim.before.after = timer;
-    rim.before = timer;
+    Timer sentinel = buckets[(int) (tick % BUCKET_COUNT)];
+    timer.previous = sentinel.previous;
+    timer.next = sentinel;
+    sentinel.previous.next = timer;
+    sentinel.previous = timer;
     return timer;
   }
 
-  /**
-   * Moves on to this time and fires what has fallen due, tick by tick, in the order of arming within one.
-   * A tick whose task threw is finished by the next advance.
-   */
+  /** Fires the timers due by now, tick by tick, in order of arming; after a throw, the next call resumes the tick. */
   public void advance(long now) {
-    long target = now / tickMicros;
-    while (done < target) {
-      current = Math.max(done + 1, target - SPOKES + 1); // after a long stall one round visits all spokes
-      Timer rim = spokes[(int) (current % SPOKES)];
-      Timer next = rim.after;
-      while (next != rim) {
+    long targetTick = now / tickMicros;
+    while (completedTick < targetTick) {
+      currentTick = Math.max(completedTick + 1, targetTick - BUCKET_COUNT + 1); // at most one round, after a stall
+      Timer sentinel = buckets[(int) (currentTick % BUCKET_COUNT)];
+      Timer next = sentinel.next;
+      while (next != sentinel) {
         Timer timer = next;
-        next = timer.after;
-        if (timer.tick <= current) {
+        next = timer.next;
+        if (timer.tick <= currentTick) {
           timer.unlink();
           timer.task.run(now);
-          next = rim.after; // the task may have changed this spoke: look again from its start
+          next = sentinel.next; // the task may have changed this bucket: restart from its head
         }
       }
-      done = current;
+      completedTick = currentTick;
     }
   }
 }
