--- a/proxy/src/main/java/amberhoist/core/LoadReadings.java
+++ b/proxy/src/main/java/amberhoist/core/LoadReadings.java
@@ -4,109 +4,109 @@
 import java.util.Map;
 
 /**
- * Tells apart what LOAD lines on one connection say. Guards against taking one for the other: providers send
- * the load of the connection, in microseconds of work a second, whenever it changes; but where messages take
- * long, one connection of each proxy also brings the milliseconds that a message takes, under the same word.
- * These come once a second to the hundredth and move slowly, which loads do not.
+ * Tells apart the two values that LOAD lines carry. Providers send a connection's load, in microseconds of work a
+ * second, whenever it changes. Where messages take long, one connection of each proxy also brings their queueing delay
+ * in milliseconds, once a second to the hundredth; delays change slowly, loads do not.
  *
- * <p>The first line of such a run can be told from a load only where the load before was far larger. Otherwise the
- * second one shows it, and the load is then again what it was before. The beat is the provider's, though: it keeps time
- * from run to run, and goes on over another connection when the one that brought it ends. So once a provider's
- * {@link DelaySchedule} is known, a first line on it counts.
+ * <p>The first line of a run of delays can be told from a load only if the load before was far larger. Otherwise the
+ * second reveals the run, and the load is reset to what it was before. A provider keeps its period from run to run and
+ * across connections, so once its {@link DelaySchedule} is known, a first line on schedule counts as a delay.
  */
 final class LoadReadings {
   static final long PERIOD = 1_000_000;
   static final long PERIOD_SLACK = 15_000;
   private static final double PERIOD_MILLIS = 1000;
-  private static final double STEP_SLACK = 5;
-  private static final double MOST = 3000; // milliseconds, of a delay that is no hang: most loads are larger figures
-  private static final long KNOWN_SLACK = 5_000; // for a first line: a load meets so little by chance in 1 of 100
-  private static final long RUN = 3 * PERIOD; // a run that lost its connection goes on within this
-  private static final double DROP = 30; // times smaller than the load before: one load line in 200, most first delays
-  private static final int KEPT = 4; // lines: a load or two may come between two schedules
+  private static final double HANG_STEP_TOLERANCE_MILLIS = 5;
+  private static final double MAX_DELAY_MILLIS = 3000; // without a hang; most loads are larger numbers
+  private static final long FIRST_LINE_TOLERANCE_MICROS = 5_000; // 1 in 100 loads arrives this close by chance
+  private static final long RESUME_TIMEOUT_MICROS = 3 * PERIOD; // for a run to go on over another connection
+  private static final double MIN_DROP_RATIO = 30; // of load to first delay: 1 load line in 200, most first delays
+  private static final int KEPT_LINES = 4; // a load or two may come between two delays
 
-  /** When delays come from one provider, as far as this proxy has seen. */
+  /** When one provider sends its delays, as far as this proxy has seen. */
   static final class DelaySchedule {
-    private long at; // of the latest delay, 0 for none yet
+    private long lastDelayAt; // microseconds, 0 for none yet
 
     /**
-     * Guards against a run whose connection is moved or ends: waiting for two lines on the next one left proxies blind
-     * for seconds while they sent clients to a jammed provider.
+     * Whether a line is on schedule, on any connection: a proxy that waited for two lines on the next one after a run's
+     * connection moved or ended got no delays for seconds, and sent clients to an overloaded provider.
      */
-    private boolean carries(long now, double figure) {
-      long since = now - at;
-      long off = Math.abs(Math.floorMod(since + PERIOD / 2, PERIOD) - PERIOD / 2);
-      return at != 0 && figure <= MOST && since > PERIOD / 2 && off <= (since <= RUN ? PERIOD_SLACK : KNOWN_SLACK);
+    private boolean matches(long now, double value) {
+      long elapsed = now - lastDelayAt;
+      long offset = Math.abs(Math.floorMod(elapsed + PERIOD / 2, PERIOD) - PERIOD / 2);
+      return lastDelayAt != 0 && value <= MAX_DELAY_MILLIS && elapsed > PERIOD / 2
+          && offset <= (elapsed <= RESUME_TIMEOUT_MICROS ? PERIOD_SLACK : FIRST_LINE_TOLERANCE_MICROS);
     }
   }
 
   /** The schedules of all providers, by name. */
   static final class DelaySchedules {
-    private static final int KEPT = 1 << 16; // one that comes after so many others is learned anew
+    private static final int MAX_PROVIDERS = 1 << 16; // the oldest is dropped, and learned anew when it returns
 
     private final Map<String, DelaySchedule> schedules = new LinkedHashMap<>() {
       @Override
       protected boolean removeEldestEntry(Map.Entry<String, DelaySchedule> eldest) {
-        return size() > KEPT;
+        return size() > MAX_PROVIDERS;
       }
     };
 
-    /** What a connection just joined to this provider will tell. */
+    /** Creates a classifier for a new connection to this provider. */
     LoadReadings told(String provider) {
       return new LoadReadings(schedules.computeIfAbsent(provider, name -> new DelaySchedule()));
     }
   }
 
-  private final DelaySchedule provider;
-  private final long[] at = new long[KEPT];
-  private final double[] figures = new double[KEPT];
-  private final boolean[] delays = new boolean[KEPT];
+  private final DelaySchedule schedule;
+  private final long[] arrivedAt = new long[KEPT_LINES];
+  private final double[] values = new double[KEPT_LINES];
+  private final boolean[] delays = new boolean[KEPT_LINES];
   private int next;
-  private double settled; // the load before the lines that are kept
+  private double settledLoad; // the load before the lines that are kept
 
-  LoadReadings(DelaySchedule provider) {
-    this.provider = provider;
+  LoadReadings(DelaySchedule schedule) {
+    this.schedule = schedule;
   }
 
-  /** Takes the figure of a line; whether it is a delay. */
-  boolean delay(long now, double figure) {
-    boolean first = figure <= PERIOD_MILLIS && load() >= DROP * figure && !provider.carries(now, figure);
-    boolean delay = first || provider.carries(now, figure);
-    for (int i = 0; i < KEPT; i++) {
-      boolean beat = at[i] != 0 && Math.abs(now - at[i] - PERIOD) <= PERIOD_SLACK;
-      if (beat && (delays[i] || follows(figures[i], figure))) {
-        delays[i] = true; // what came one beat ago was a delay, too
-        delay = true;
+  /** Records the value of a LOAD line; returns true if it is a delay in milliseconds, false if it is a load. */
+  boolean delay(long now, double value) {
+    boolean isDrop = value <= PERIOD_MILLIS && load() >= MIN_DROP_RATIO * value && !schedule.matches(now, value);
+    boolean isDelay = isDrop || schedule.matches(now, value);
+    for (int i = 0; i < KEPT_LINES; i++) {
+      boolean onPeriod = arrivedAt[i] != 0 && Math.abs(now - arrivedAt[i] - PERIOD) <= PERIOD_SLACK;
+      if (onPeriod && (delays[i] || isSuccessor(values[i], value))) {
+        delays[i] = true; // the line one period ago was a delay, too
+        isDelay = true;
       }
     }
-    if (delay && !first) {
-      provider.at = now;
+    if (isDelay && !isDrop) {
+      schedule.lastDelayAt = now;
     }
-    settled = at[next] != 0 && !delays[next] ? figures[next] : settled;
-    at[next] = now;
-    figures[next] = figure;
-    delays[next] = delay;
-    next = (next + 1) % KEPT;
-    return delay;
+    settledLoad = arrivedAt[next] != 0 && !delays[next] ? values[next] : settledLoad;
+    arrivedAt[next] = now;
+    values[next] = value;
+    delays[next] = isDelay;
+    next = (next + 1) % KEPT_LINES;
+    return isDelay;
   }
 
   /**
-   * Delays move slowly from beat to beat; those over the most start when a provider hangs, and grow just as time
-   * passes. A load that is told again is the same as before.
+   * Whether a value can be the delay one period after another. Delays change slowly; those over the maximum begin when
+   * a provider hangs, and grow as fast as time passes. An unchanged value is a load that was sent again.
    */
-  private static boolean follows(double last, double figure) {
-    double step = figure - last;
-    return figure <= MOST && last <= MOST && step != 0 || Math.abs(step - PERIOD_MILLIS) <= STEP_SLACK;
+  private static boolean isSuccessor(double previous, double value) {
+    double step = value - previous;
+    return value <= MAX_DELAY_MILLIS && previous <= MAX_DELAY_MILLIS && step != 0
+        || Math.abs(step - PERIOD_MILLIS) <= HANG_STEP_TOLERANCE_MILLIS;
   }
 
-  /** The connection's load, as far as it has been told. */
+  /** The latest known load of the connection in microseconds of work a second, 0 before any. */
   double load() {
-    for (int back = 1; back <= KEPT; back++) {
-      int i = Math.floorMod(next - back, KEPT);
-      if (at[i] != 0 && !delays[i]) {
-        return figures[i];
+    for (int back = 1; back <= KEPT_LINES; back++) {
+      int i = Math.floorMod(next - back, KEPT_LINES);
+      if (arrivedAt[i] != 0 && !delays[i]) {
+        return values[i];
       }
     }
-    return settled;
+    return settledLoad;
   }
 }
--- a/proxy/src/main/java/amberhoist/core/Pulse.java
+++ b/proxy/src/main/java/amberhoist/core/Pulse.java
@@ -6,49 +6,49 @@
 import java.util.Set;
 
 /**
- * Whether a provider still returns lines, from all connections joined to it. Guards against waiting on each
- * connection by itself when the whole machine has vanished or hung: its silence shows sooner on all of them.
+ * Tracks whether one provider still returns lines, over all its established connections. When a whole machine has
+ * vanished or hung, this shows sooner on all connections together than on each by itself.
  */
 final class Pulse {
-  private static final int WITNESSES = 2;
+  private static final int MIN_SILENT_CONNECTIONS = 2;
 
-  private final Set<Long> joined = new LinkedHashSet<>();
-  private final Set<Long> unanswered = new LinkedHashSet<>();
-  private long returned;
+  private final Set<Long> establishedIds = new LinkedHashSet<>();
+  private final Set<Long> unansweredIds = new LinkedHashSet<>();
+  private long lastLineAt;
 
-  void join(long invocation, long now) {
-    joined.add(invocation);
-    returned = now;
+  void join(long invocationId, long now) {
+    establishedIds.add(invocationId);
+    lastLineAt = now;
   }
 
-  void asked(long invocation) {
-    unanswered.add(invocation);
+  void asked(long invocationId) {
+    unansweredIds.add(invocationId);
   }
 
-  void returned(long invocation, long now) {
-    unanswered.remove(invocation);
-    returned = now;
+  void returned(long invocationId, long now) {
+    unansweredIds.remove(invocationId);
+    lastLineAt = now;
   }
 
-  void end(long invocation) {
-    joined.remove(invocation);
-    unanswered.remove(invocation);
+  void end(long invocationId) {
+    establishedIds.remove(invocationId);
+    unansweredIds.remove(invocationId);
   }
 
   /**
-   * Whether nothing has come on any connection for so long that the provider must be lost. A sound provider
-   * returns lines within 50 ms at any load, as measured; several not returned for ten times that tell enough,
-   * also when this process stood still for a moment.
+   * Whether several connections wait for a line and none has had one within the timeout. A healthy provider returns
+   * lines within 50 ms at any load; ten times that on several connections is conclusive even after a stall here.
    */
-  boolean silent(long now, long quiet) {
-    return unanswered.size() >= WITNESSES && now - returned >= quiet;
+  boolean silent(long now, long timeoutMicros) {
+    return unansweredIds.size() >= MIN_SILENT_CONNECTIONS && now - lastLineAt >= timeoutMicros;
   }
 
+  /** A copy of the ids of the invocations established with the provider. */
   List<Long> joined() {
-    return new ArrayList<>(joined);
+    return new ArrayList<>(establishedIds);
   }
 
   boolean idle() {
-    return joined.isEmpty();
+    return establishedIds.isEmpty();
   }
 }
--- a/proxy/src/main/java/amberhoist/core/SilenceWatch.java
+++ b/proxy/src/main/java/amberhoist/core/SilenceWatch.java
@@ -6,85 +6,84 @@
 import java.util.function.ObjLongConsumer;
 
 /**
- * Watches whether providers still return lines. Guards against a provider that takes lines and returns none:
- * TCP does not tell of a vanished machine. Its clients are told to move, which is right also if it should
- * still be there.
+ * Detects providers that take lines and return none, which TCP does not report when a machine has vanished. Their
+ * clients are moved, which does no harm if the provider is still there.
  */
 final class SilenceWatch {
-  private static final long STALL = 250_000; // a timer this late tells of the proxy, not of a provider
+  private static final long STALL_MICROS = 250_000; // a timer this late shows a stall of the proxy, not of a provider
 
   private final SlotTable<Invocation> invocations;
   private final Wheel wheel;
   private final EventQueue events;
-  private final ObjLongConsumer<Invocation> lose;
-  private final Map<String, Pulse> pulses = new HashMap<>();
+  private final ObjLongConsumer<Invocation> onSilent;
+  private final Map<String, Pulse> livenessByProvider = new HashMap<>();
   private Timing timing;
 
-  /** A watch that loses invocations in this way, each with its number. */
+  /** Creates a detector that calls {@code onSilent} with each invocation at a silent provider, and its id. */
   SilenceWatch(SlotTable<Invocation> invocations, Wheel wheel, EventQueue events, Timing timing,
-      ObjLongConsumer<Invocation> lose) {
+      ObjLongConsumer<Invocation> onSilent) {
     this.invocations = invocations;
     this.wheel = wheel;
     this.events = events;
     this.timing = timing;
-    this.lose = lose;
+    this.onSilent = onSilent;
   }
 
-  /** Goes by other times; a wait that has begun ends by the old ones. */
-  void configure(Timing others) {
-    timing = others;
+  /** Applies new timeouts; a timer that is already armed keeps its time. */
+  void configure(Timing newTiming) {
+    timing = newTiming;
   }
 
-  /** An invocation is joined to the provider that was called last. */
-  void joined(long number, Invocation it) {
-    it.pulse = pulses.computeIfAbsent(it.called, name -> new Pulse());
-    it.pulse.join(number, events.now());
+  /** An invocation is established with the provider of its latest attempt. */
+  void joined(long invocationId, Invocation invocation) {
+    invocation.pulse = livenessByProvider.computeIfAbsent(invocation.called, name -> new Pulse());
+    invocation.pulse.join(invocationId, events.now());
   }
 
-  /** An invocation is joined no longer. */
-  void ended(long number, Invocation it) {
-    it.pulse.end(number);
-    if (it.pulse.idle()) {
-      pulses.remove(it.called);
+  /** An established invocation has ended. */
+  void ended(long invocationId, Invocation invocation) {
+    invocation.pulse.end(invocationId);
+    if (invocation.pulse.idle()) {
+      livenessByProvider.remove(invocation.called);
     }
   }
 
-  /** A line of the client has been passed to its provider; null for one that is joined no longer. */
-  void asked(long time, long number, Invocation it) {
-    if (it != null && it.unanswered == 0) {
-      it.unanswered = time;
-      it.pulse.asked(number);
-      watch(number, it, time + timing.quiet());
+  /** A line of the client has been relayed to its provider; null if the invocation is no longer established. */
+  void asked(long time, long invocationId, Invocation invocation) {
+    if (invocation != null && invocation.unanswered == 0) {
+      invocation.unanswered = time;
+      invocation.pulse.asked(invocationId);
+      armTimer(invocationId, invocation, time + timing.quiet());
     }
   }
 
-  /** A line of the provider has come that is no mere figure of its load; null for one that is joined no longer. */
-  void returned(long time, long number, Invocation it) {
-    if (it != null) {
-      it.unanswered = 0;
-      it.pulse.returned(number, time);
+  /** A line of the provider other than LOAD has been received; null if the invocation is no longer established. */
+  void returned(long time, long invocationId, Invocation invocation) {
+    if (invocation != null) {
+      invocation.unanswered = 0;
+      invocation.pulse.returned(invocationId, time);
     }
   }
 
-  private void watch(long number, Invocation it, long due) {
-    Invocation.cancel(it.silenceTimer);
-    it.silenceTimer = wheel.arm(due, at -> events.run(at, () -> check(number, it, due)));
+  private void armTimer(long invocationId, Invocation invocation, long dueAt) {
+    Invocation.cancel(invocation.silenceTimer);
+    invocation.silenceTimer = wheel.arm(dueAt, at -> events.run(at, () -> check(invocationId, invocation, dueAt)));
   }
 
-  private void check(long number, Invocation it, long due) {
-    if (invocations.get(number) != it || it.phase != Phase.UP || it.unanswered == 0) {
+  private void check(long invocationId, Invocation invocation, long dueAt) {
+    if (invocations.get(invocationId) != invocation || invocation.phase != Phase.UP || invocation.unanswered == 0) {
       return;
     }
     long now = events.now();
-    if (now - due > STALL) {
-      it.unanswered = now; // this process stood still: what has come meanwhile is still to be read
-      watch(number, it, now + timing.silence());
-    } else if (it.pulse.silent(now, timing.quiet())) {
-      it.pulse.joined().forEach(other -> lose.accept(invocations.get(other), other));
-    } else if (now - it.unanswered >= timing.silence()) {
-      lose.accept(it, number);
+    if (now - dueAt > STALL_MICROS) {
+      invocation.unanswered = now; // this process stalled: lines received meanwhile are still to be read
+      armTimer(invocationId, invocation, now + timing.silence());
+    } else if (invocation.pulse.silent(now, timing.quiet())) {
+      invocation.pulse.joined().forEach(id -> onSilent.accept(invocations.get(id), id));
+    } else if (now - invocation.unanswered >= timing.silence()) {
+      onSilent.accept(invocation, invocationId);
     } else {
-      watch(number, it, Math.min(it.unanswered + timing.silence(), now + timing.quiet()));
+      armTimer(invocationId, invocation, Math.min(invocation.unanswered + timing.silence(), now + timing.quiet()));
     }
   }
 }
--- a/proxy/src/main/java/amberhoist/core/Stopping.java
+++ b/proxy/src/main/java/amberhoist/core/Stopping.java
@@ -7,28 +7,28 @@
 import java.util.function.LongConsumer;
 
 /**
- * A stop in good order: serves on while the front may still send here, then moves all standing clients at an
- * even pace, so that they do not all come back to the others at once, and rejects what still arrives. The
- * moves begin late: where proxies are restarted in turn, the one before may only just be starting, and a
- * client that nobody takes in is worse off than one that stays. Where another process serves in this one's place
- * already they begin at once, and take all the time there is.
+ * A graceful stop: serves on while the front may still send clients here, then rejects new invocations and moves all
+ * established clients at an even pace, so that they do not all reconnect elsewhere at once. The moves begin late: where
+ * proxies are restarted in turn, the previous one may still be starting, and a client that no proxy accepts is worse
+ * off than one that stays. If another process already serves in place of this one, they begin at once and take all the
+ * time there is.
  */
 final class Stopping {
-  private static final long STEP = 20_000; // between steps of moving clients
-  private static final long LEAST = 1_000_000; // late arrivals still find someone who answers
-  private static final double HOLD_PART = 0.55; // of the time there is, where that is short
-  private static final long TAIL = 150_000; // of the 0.7 s until the kill, for the last moves
+  private static final long MOVE_INTERVAL_MICROS = 20_000;
+  private static final long MIN_STOP_MICROS = 1_000_000; // so that late arrivals still get an answer
+  private static final double MAX_HOLD_FRACTION = 0.55; // of the time until the end, where that is short
+  private static final long LAST_MOVES_MICROS = 150_000; // out of the 0.7 s until the process is killed
 
   private final SlotTable<Invocation> invocations;
   private final Wheel wheel;
   private final EventQueue events;
   private final LongConsumer move;
   private final Consumer<List<Long>> close;
-  private boolean refusing;
-  private Runnable stopped;
-  private double due; // moves that have not come to a whole one yet
+  private boolean rejecting;
+  private Runnable onStopped;
+  private double dueMoves; // the fraction of a move carried over to the next step
 
-  /** A stop that moves invocations, and at its end closes those that are still owed an answer, in these ways. */
+  /** Creates a stop that moves invocations by {@code move} and passes those unanswered at its end to {@code close}. */
   Stopping(SlotTable<Invocation> invocations, Wheel wheel, EventQueue events, LongConsumer move,
       Consumer<List<Long>> close) {
     this.invocations = invocations;
@@ -38,45 +38,44 @@
     this.close = close;
   }
 
-  /** Whether what arrives now is to be rejected. */
+  /** Whether new invocations are rejected. */
   boolean refusing() {
-    return refusing;
+    return rejecting;
   }
 
-  /** Begins; {@code done} is run when nothing is owed and nobody is joined any more. */
-  void begin(long time, long deadlines, Timing timing, boolean succeeded,
-      Runnable done) {
-    if (stopped != null) {
+  /** Begins the stop, once only; {@code done} runs when no invocation is left, {@code deadlines} in microseconds. */
+  void begin(long time, long deadlines, Timing timing, boolean succeeded, Runnable done) {
+    if (onStopped != null) {
       return;
     }
-    stopped = done;
+    onStopped = done;
     long longest = Math.min(deadlines, timing.stopLongest());
     long hold = succeeded ? 0
-        : Math.max(timing.stopRouted(), Math.min(timing.stopHold(), (long) (HOLD_PART * longest)));
-    long end = time + longest + TAIL;
-    wheel.arm(time + timing.stopRouted(), at -> events.run(at, () -> refusing = true));
-    wheel.arm(time + hold, at -> step(at, Math.min(end, time + LEAST), end));
+        : Math.max(timing.stopRouted(), Math.min(timing.stopHold(), (long) (MAX_HOLD_FRACTION * longest)));
+    long end = time + longest + LAST_MOVES_MICROS;
+    wheel.arm(time + timing.stopRouted(), at -> events.run(at, () -> rejecting = true));
+    wheel.arm(time + hold, at -> step(at, Math.min(end, time + MIN_STOP_MICROS), end));
   }
 
-  private void step(long time, long least, long end) {
+  private void step(long time, long minEnd, long end) {
     events.run(time, () -> {
-      List<Long> joined = new ArrayList<>();
-      List<Long> owed = new ArrayList<>();
-      invocations.forEach(n -> (invocations.get(n).phase == Phase.UP ? joined : owed).add(n));
-      boolean last = events.now() + STEP >= end;
-      long steps = Math.max(1, (end - events.now()) / STEP);
-      due += (double) joined.size() / steps;
-      long moves = last ? joined.size() : (long) due;
-      due -= moves;
-      joined.stream().limit(moves).forEach(move::accept);
-      if (last) {
-        close.accept(owed);
+      List<Long> established = new ArrayList<>();
+      List<Long> unanswered = new ArrayList<>();
+      invocations.forEach(id -> (invocations.get(id).phase == Phase.UP ? established : unanswered).add(id));
+      boolean isLast = events.now() + MOVE_INTERVAL_MICROS >= end;
+      long steps = Math.max(1, (end - events.now()) / MOVE_INTERVAL_MICROS);
+      dueMoves += (double) established.size() / steps;
+      long moves = isLast ? established.size() : (long) dueMoves;
+      dueMoves -= moves;
+      established.stream().limit(moves).forEach(move::accept);
+      if (isLast) {
+        close.accept(unanswered);
       }
     });
-    if (invocations.size() == 0 && time >= least) {
-      stopped.run();
+    if (invocations.size() == 0 && time >= minEnd) {
+      onStopped.run();
     } else {
-      wheel.arm(time + STEP, at -> step(at, least, end));
+      wheel.arm(time + MOVE_INTERVAL_MICROS, at -> step(at, minEnd, end));
     }
   }
 }
