--- a/proxy/src/main/java/amberhoist/core/Answers.java
+++ b/proxy/src/main/java/amberhoist/core/Answers.java
@@ -8,7 +8,7 @@
 import amberhoist.metrics.Counters.Count;
 import amberhoist.metrics.Outcomes;
 
-/** The final answers of invocations that are not served: each gets one, counted here and nowhere else. */
+/** Sends the final answers of invocations that are not served. Each gets one, which is counted only here. */
 final class Answers {
   private final SlotTable<Invocation> invocations;
   private final EventQueue events;
@@ -27,68 +27,70 @@
     this.balancer = balancer;
   }
 
-  /** The balancer, or the core in its place, rejects an invocation that it holds. */
-  void reject(long number, long retryAfter) {
-    Invocation it = held(number);
-    if (it != null) {
-      rejected(number, it, retryAfter);
+  /** Rejects a pending invocation, as the balancer or the core decided; 0 microseconds give no retry-after. */
+  void reject(long invocationId, long retryAfter) {
+    Invocation invocation = takePending(invocationId);
+    if (invocation != null) {
+      sendRejection(invocationId, invocation, retryAfter);
     }
   }
 
-  /** The same with a failure. */
-  void fail(long number) {
-    Invocation it = held(number);
-    if (it != null) {
+  /** Fails a pending invocation, as the balancer or the core decided. */
+  void fail(long invocationId) {
+    Invocation invocation = takePending(invocationId);
+    if (invocation != null) {
       counters.add(Count.ANSWERED_FAILURE);
-      telemetry.answered(number, Answer.FAILURE, events.now() - it.arrived);
-      commands.fail(it.client);
-      over(it, Outcomes.Outcome.FAILED);
+      telemetry.answered(invocationId, Answer.FAILURE, events.now() - invocation.arrived);
+      commands.fail(invocation.client);
+      countOutcome(invocation, Outcomes.Outcome.FAILED);
     }
   }
 
-  private Invocation held(long number) {
-    Invocation it = invocations.remove(number);
-    counters.invariant(it != null && it.phase == Phase.WAITING, "an answer that is not owed");
-    if (it != null) {
-      it.cancelTimers();
+  /** Removes and returns the invocation, which must be pending; null if there is none of this id. */
+  private Invocation takePending(long invocationId) {
+    Invocation invocation = invocations.remove(invocationId);
+    counters.invariant(invocation != null && invocation.phase == Phase.WAITING, "answered while not pending");
+    if (invocation != null) {
+      invocation.cancelTimers();
     }
-    return it;
+    return invocation;
   }
 
-  private void rejected(long number, Invocation it, long retryAfter) {
+  private void sendRejection(long invocationId, Invocation invocation, long retryAfter) {
     counters.add(Count.ANSWERED_REJECTION);
-    telemetry.answered(number, Answer.REJECTION, events.now() - it.arrived);
-    commands.reject(it.client, retryAfter);
-    over(it, Outcomes.Outcome.REFUSED);
+    telemetry.answered(invocationId, Answer.REJECTION, events.now() - invocation.arrived);
+    commands.reject(invocation.client, retryAfter);
+    countOutcome(invocation, Outcomes.Outcome.REFUSED);
   }
 
-  private void over(Invocation it, Outcomes.Outcome outcome) {
-    counters.outcomes().ended(it.type, outcome);
+  private void countOutcome(Invocation invocation, Outcomes.Outcome outcome) {
+    counters.outcomes().ended(invocation.type, outcome);
   }
 
-  /** The proxy rejects an invocation over the balancer's head: its time is up, or the proxy's. */
-  void giveUp(long number, Invocation it, long retryAfter) {
-    rejected(number, it, retryAfter);
-    end(number, it);
+  /** Rejects an invocation without a decision of the balancer: its deadline expired, or the proxy stops. */
+  void giveUp(long invocationId, Invocation invocation, long retryAfter) {
+    sendRejection(invocationId, invocation, retryAfter);
+    end(invocationId, invocation);
   }
 
-  /** The client is gone, or has been told by its front; nothing is owed any more. */
-  void depart(long number, Invocation it, Outcomes.Outcome outcome) {
-    over(it, outcome);
-    end(number, it);
+  /** Ends an invocation without an answer: its client has disconnected, or was answered by its front. */
+  void depart(long invocationId, Invocation invocation, Outcomes.Outcome outcome) {
+    countOutcome(invocation, outcome);
+    end(invocationId, invocation);
   }
 
-  private void end(long number, Invocation it) {
-    it.cancelTimers();
-    invocations.remove(number);
-    if (it.balanced) {
-      balancer.departed(events.now(), number);
+  private void end(long invocationId, Invocation invocation) {
+    invocation.cancelTimers();
+    invocations.remove(invocationId);
+    if (invocation.balanced) {
+      balancer.departed(events.now(), invocationId);
     }
-    if (it.calling()) {
-      commands.abandon(it.provider);
+    if (invocation.calling()) {
+      commands.abandon(invocation.provider);
       counters.add(Count.CALL_ABANDONED);
-      if (it.balanced) {
-        balancer.ended(events.now(), number, it.attempts - 1, Outcome.CANCELLED, events.now() - it.callStart, true);
+      if (invocation.balanced) {
+        balancer.ended(events.now(), invocationId, invocation.attempts - 1, Outcome.CANCELLED,
+            events.now() - invocation.callStart, true);
       }
     }
   }
--- a/proxy/src/main/java/amberhoist/core/Attempts.java
+++ b/proxy/src/main/java/amberhoist/core/Attempts.java
@@ -7,15 +7,14 @@
 import java.util.function.LongPredicate;
 
 /**
- * The attempts of invocations: never two out for one, and each ended exactly once. What tells whether one may have run
- * is its phase, never the completion of a write: a reset, an end or a timer may be handled before a completion whose
- * bytes have long been with the provider.
+ * Manages the attempts of invocations: an invocation has at most one in flight, and each ends exactly once. The phase
+ * of the invocation decides whether an attempt may have run, never the completion of a write: a reset, an end or a
+ * timer may be handled before the completion of a write whose bytes the provider received long ago.
  */
 final class Attempts {
-  /** What is done when a call has ended without UP. */
-  interface Over {
-    /** The call is over; {@code unwilling} when the provider cannot be there or wants nothing of it. */
-    void accept(long number, Invocation it, Outcome outcome, boolean unwilling);
+  /** Notified when an attempt ended without UP; {@code unwilling} if its provider is unknown or sent ERR or BUSY. */
+  interface AttemptListener {
+    void onEnded(long invocationId, Invocation invocation, Outcome outcome, boolean unwilling);
   }
 
   private final SlotTable<Invocation> invocations;
@@ -24,100 +23,102 @@
   private final Commands commands;
   private final Counters counters;
   private final Telemetry telemetry;
-  private final Over over;
-  private final LongPredicate wanted;
+  private final AttemptListener listener;
+  private final LongPredicate isStillWanted;
 
   Attempts(SlotTable<Invocation> invocations, Wheel wheel, EventQueue events, Commands commands,
-      Counters counters, Telemetry telemetry, Over over, LongPredicate wanted) {
+      Counters counters, Telemetry telemetry, AttemptListener listener, LongPredicate isStillWanted) {
     this.invocations = invocations;
     this.wheel = wheel;
     this.events = events;
     this.commands = commands;
     this.counters = counters;
     this.telemetry = telemetry;
-    this.over = over;
-    this.wanted = wanted;
+    this.listener = listener;
+    this.isStillWanted = isStillWanted;
   }
 
-  /** Starts an attempt that is given up at {@code until}; the connection must stand within {@code dial} micros. */
-  void start(long number, Invocation it, String provider, long until, long dial) {
-    counters.invariant(it.phase == Phase.WAITING && it.provider == SlotTable.NONE, "two calls out");
+  /** Starts an attempt that times out at {@code deadline}; the provider must connect within the connect timeout. */
+  void start(long invocationId, Invocation invocation, String provider, long deadline, long connectTimeoutMicros) {
+    counters.invariant(invocation.phase == Phase.WAITING && invocation.provider == SlotTable.NONE,
+        "two attempts in flight");
     counters.add(Count.CALLS);
     long now = events.now();
-    it.phase = Phase.CONNECTING;
-    it.attempts++;
-    it.called = provider;
-    it.callStart = now;
-    it.callEnd = Math.min(until, it.request.deadline());
-    it.provider = commands.dial(number, it.client, provider);
-    if (it.provider == SlotTable.NONE) {
-      int attempt = it.attempts;
+    invocation.phase = Phase.CONNECTING;
+    invocation.attempts++;
+    invocation.called = provider;
+    invocation.callStart = now;
+    invocation.callEnd = Math.min(deadline, invocation.request.deadline());
+    invocation.provider = commands.dial(invocationId, invocation.client, provider);
+    if (invocation.provider == SlotTable.NONE) {
+      int attempt = invocation.attempts;
       events.after(() -> {
-        if (invocations.get(number) == it && it.attempts == attempt && it.phase == Phase.CONNECTING) {
-          end(number, it, Outcome.CONNECT_FAILED);
+        if (invocations.get(invocationId) == invocation && invocation.attempts == attempt
+            && invocation.phase == Phase.CONNECTING) {
+          end(invocationId, invocation, Outcome.CONNECT_FAILED);
         }
       });
       return;
     }
-    long connection = it.provider;
-    it.callTimer = wheel.arm(it.callEnd,
-        at -> events.run(at, () -> ended(number, connection, Outcome.TIMED_OUT)));
-    it.dialTimer = wheel.arm(Math.min(now + dial, it.callEnd),
-        at -> events.run(at, () -> ended(number, connection, Outcome.CONNECT_FAILED)));
+    long connectionId = invocation.provider;
+    invocation.callTimer = wheel.arm(invocation.callEnd,
+        at -> events.run(at, () -> ended(invocationId, connectionId, Outcome.TIMED_OUT)));
+    invocation.dialTimer = wheel.arm(Math.min(now + connectTimeoutMicros, invocation.callEnd),
+        at -> events.run(at, () -> ended(invocationId, connectionId, Outcome.CONNECT_FAILED)));
   }
 
-  /** The invocation whose attempt is out on this connection, or null when that one is over. */
-  Invocation out(long number, long provider) {
-    Invocation it = invocations.get(number);
-    return it != null && it.provider == provider && it.calling() ? it : null;
+  /** Returns the invocation whose attempt is in flight on this connection, or null if that attempt has ended. */
+  Invocation out(long invocationId, long connectionId) {
+    Invocation found = invocations.get(invocationId);
+    return found != null && found.provider == connectionId && found.calling() ? found : null;
   }
 
-  /** The connection stands. What held when the attempt began may hold no longer: who decided is asked once more. */
-  void connected(long number, long provider) {
-    Invocation it = out(number, provider);
-    if (it == null || it.phase != Phase.CONNECTING) {
+  /** The provider is connected. The decision for it may be outdated by now, so the balancer is asked to confirm it. */
+  void connected(long invocationId, long connectionId) {
+    Invocation invocation = out(invocationId, connectionId);
+    if (invocation == null || invocation.phase != Phase.CONNECTING) {
       return;
     }
-    long left = it.callEnd - events.now();
-    if (it.balanced && !wanted.test(number)) {
-      end(number, it, Outcome.MOOT);
-    } else if (left >= 1000) {
-      it.phase = Phase.SENT;
-      Invocation.cancel(it.dialTimer);
-      commands.forward(provider, left / 1000);
+    long remainingMicros = invocation.callEnd - events.now();
+    if (invocation.balanced && !isStillWanted.test(invocationId)) {
+      end(invocationId, invocation, Outcome.MOOT);
+    } else if (remainingMicros >= 1000) {
+      invocation.phase = Phase.SENT;
+      Invocation.cancel(invocation.dialTimer);
+      commands.forward(connectionId, remainingMicros / 1000);
     }
   }
 
-  void written(long number, long provider) {
-    if (out(number, provider) != null) {
+  void written(long invocationId, long connectionId) {
+    if (out(invocationId, connectionId) != null) {
       counters.outcomes().attempted();
     }
   }
 
-  void ended(long number, long provider, Outcome outcome) {
-    Invocation it = out(number, provider);
-    if (it != null) {
-      end(number, it, it.phase == Phase.SENT ? outcome : Outcome.CONNECT_FAILED);
+  void ended(long invocationId, long connectionId, Outcome outcome) {
+    Invocation invocation = out(invocationId, connectionId);
+    if (invocation != null) {
+      end(invocationId, invocation, invocation.phase == Phase.SENT ? outcome : Outcome.CONNECT_FAILED);
     }
   }
 
-  /** There is no time left for the attempt that is out, if one is: it ends by what may have come of it. */
-  void expire(long number, Invocation it) {
-    if (it.calling()) {
-      end(number, it, it.phase == Phase.SENT ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED);
+  /** Ends the attempt in flight, if any: as timed out if it may have run, otherwise as a failed connect. */
+  void expire(long invocationId, Invocation invocation) {
+    if (invocation.calling()) {
+      end(invocationId, invocation, invocation.phase == Phase.SENT ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED);
     }
   }
 
-  /** Ends the attempt that is out, and tells what follows. */
-  void end(long number, Invocation it, Outcome outcome) {
+  /** Ends the attempt in flight and notifies the listener. */
+  void end(long invocationId, Invocation invocation, Outcome outcome) {
     count(outcome);
-    telemetry.called(number, it.called, outcome, events.now() - it.callStart);
-    boolean unwilling = it.provider == SlotTable.NONE || outcome == Outcome.ERROR || outcome == Outcome.FULL;
-    it.cancelCallTimers();
-    commands.abandon(it.provider); // before any next attempt: never two out
-    it.provider = SlotTable.NONE;
-    it.phase = Phase.WAITING;
-    over.accept(number, it, outcome, unwilling);
+    telemetry.called(invocationId, invocation.called, outcome, events.now() - invocation.callStart);
+    boolean unwilling = invocation.provider == SlotTable.NONE || outcome == Outcome.ERROR || outcome == Outcome.FULL;
+    invocation.cancelCallTimers();
+    commands.abandon(invocation.provider); // before the next attempt, so that two are never in flight
+    invocation.provider = SlotTable.NONE;
+    invocation.phase = Phase.WAITING;
+    listener.onEnded(invocationId, invocation, outcome, unwilling);
   }
 
   private void count(Outcome outcome) {
--- a/proxy/src/main/java/amberhoist/core/Core.java
+++ b/proxy/src/main/java/amberhoist/core/Core.java
@@ -18,14 +18,13 @@
 import java.util.function.BiConsumer;
 
 /**
- * The core: events from the sockets and the clock go in, commands come out, and the balancer decides. It does
- * no I/O and reads no clock; every event brings the time. It belongs to one thread.
- *
- * <p>For each invocation it keeps to the rules whatever the balancer says: one final answer, before the
- * deadline; never two attempts out; every attempt ended exactly once.
+ * The core of the proxy: takes events from the sockets and the clock, lets the balancer decide, and issues commands.
+ * Does no I/O and reads no clock; each event carries its time in microseconds. Confined to one thread. Whatever the
+ * balancer decides, each invocation gets one final answer before its deadline, never has two attempts in flight, and
+ * each attempt ends exactly once.
  */
 public final class Core implements Balancer.Actions {
-  private static final double MILLI = 1000; // microseconds
+  private static final double MICROS_PER_MILLI = 1000;
 
   private final Balancer balancer;
   private final Wheel wheel;
@@ -35,17 +34,17 @@
   private final EventQueue events = new EventQueue();
   private final Attempts attempts;
   private final Answers answers;
-  private final Handovers handovers;
-  private final Overdue overdue;
-  private final SilenceWatch silence;
-  private final Stopping stopping;
+  private final Handovers handoverRetries;
+  private final Overdue deadlineExpiry;
+  private final SilenceWatch silenceDetector;
+  private final Stopping gracefulStop;
   private Limits limits;
   private Timing timing;
   private final SlotTable<Invocation> invocations = new SlotTable<>();
-  private final Set<String> suspended = new HashSet<>(); // kept apart from what the directory says
-  private final LoadReadings.DelaySchedules schedules = new LoadReadings.DelaySchedules();
+  private final Set<String> suspended = new HashSet<>(); // independent of the directory
+  private final LoadReadings.DelaySchedules delaySchedules = new LoadReadings.DelaySchedules();
 
-  /** A core for one balancer, which is started by {@link #start}. */
+  /** Creates a core for one balancer, which {@link #start} starts. */
   public Core(Balancer balancer, Wheel wheel, Commands commands, Counters counters, Limits limits,
       Timing timing, Telemetry telemetry) {
     this.balancer = balancer;
@@ -55,230 +54,225 @@
     this.limits = limits;
     this.timing = timing;
     this.telemetry = telemetry;
-    attempts = new Attempts(invocations, wheel, events, commands, counters, telemetry, this::over,
-        number -> balancer.confirms(events.now(), number));
+    attempts = new Attempts(invocations, wheel, events, commands, counters, telemetry, this::onAttemptEnded,
+        invocationId -> balancer.confirms(events.now(), invocationId));
     answers = new Answers(invocations, events, commands, counters, telemetry, balancer);
-    overdue = new Overdue(invocations, events, attempts, answers, balancer, counters);
-    handovers = new Handovers(invocations, wheel, events, answers, attempts, () -> this.limits.dial());
-    silence = new SilenceWatch(invocations, wheel, events, timing, this::lose);
-    stopping = new Stopping(invocations, wheel, events, this::move,
-        owed -> overdue.close(owed, this.timing.stopAdvice()));
+    deadlineExpiry = new Overdue(invocations, events, attempts, answers, balancer, counters);
+    handoverRetries = new Handovers(invocations, wheel, events, answers, attempts, () -> this.limits.dial());
+    silenceDetector = new SilenceWatch(invocations, wheel, events, timing, this::onSilent);
+    gracefulStop = new Stopping(invocations, wheel, events, this::move,
+        pending -> deadlineExpiry.close(pending, this.timing.stopAdvice()));
   }
 
-  private void event(long time, Runnable body) {
-    events.run(time, body);
+  private void runEvent(long time, Runnable event) {
+    events.run(time, event);
   }
 
-  /** Begins the balancer's life with the directory as this proxy last had it. */
+  /** Starts the balancer with the providers that this proxy last knew. */
   public void start(long time, Settings settings, long seed, List<Server> known) {
-    event(time, () -> {
+    runEvent(time, () -> {
       balancer.start(events.now(), settings, seed, this);
       balancer.members(events.now(), ListKind.STALE, known);
     });
   }
 
-  /** Goes on with other settings; what is out or joined stays as it is. */
-  public void configure(long time, Settings settings, Limits others, Timing times) {
-    event(time, () -> {
-      limits = others;
-      timing = times;
-      silence.configure(times);
+  /** Applies new settings; attempts in flight and established connections are not affected. */
+  public void configure(long time, Settings settings, Limits newLimits, Timing newTiming) {
+    runEvent(time, () -> {
+      limits = newLimits;
+      timing = newTiming;
+      silenceDetector.configure(newTiming);
       balancer.configure(events.now(), settings);
     });
   }
 
-  /** News from the directory. */
+  /** The directory has sent an update. */
   public void directory(long time, ListKind kind, List<Server> providers) {
-    event(time, () -> balancer.members(events.now(), kind, providers));
+    runEvent(time, () -> balancer.members(events.now(), kind, providers));
   }
 
-  /**
-   * A client asks for a connection.
-   *
-   * @return the invocation's number; it may already have been answered
-   */
-  public long invocation(long time, long client, Arrival arrival) {
-    Invocation it = new Invocation(client, time, arrival.type(), arrival.provider());
-    long number = invocations.add(it);
-    counters.outcomes().taken(it.type);
-    event(time, () -> {
+  /** A client requests a connection; returns the id of the invocation, which may already have been answered. */
+  public long invocation(long time, long clientId, Arrival arrival) {
+    Invocation invocation = new Invocation(clientId, time, arrival.type(), arrival.provider());
+    long invocationId = invocations.add(invocation);
+    counters.outcomes().taken(invocation.type);
+    runEvent(time, () -> {
       long wait = Math.max(0, arrival.waitMillis() * 1000 - timing.answerMargin());
-      long deadline = events.now() + (it.handover == null ? wait : Math.min(wait, Handovers.MOST));
-      it.request = new Request(number, arrival.type(), arrival.tenant(), arrival.key(), deadline,
+      long deadline = events.now() + (invocation.handover == null ? wait : Math.min(wait, Handovers.MOST));
+      invocation.request = new Request(invocationId, arrival.type(), arrival.tenant(), arrival.key(), deadline,
           arrival.hint(), arrival.group(), arrival.retry(), arrival.returning());
-      it.deadlineTimer = wheel.arm(deadline, at -> event(at, () -> overdue.deadline(number)));
+      invocation.deadlineTimer = wheel.arm(deadline, at -> runEvent(at, () -> deadlineExpiry.deadline(invocationId)));
       if (!limits.names(arrival)) {
-        // Guards against an invocation that no provider can use taking a place, and the trust in one.
+        // An invocation that no provider can serve would occupy a place at one and cost retry tokens.
         counters.add(Count.MALFORMED);
-        fail(number);
-      } else if (stopping.refusing()) {
+        fail(invocationId);
+      } else if (gracefulStop.refusing()) {
         counters.add(Count.INVOCATIONS);
-        refuse(number, timing.stopAdvice());
-      } else if (it.handover != null) {
+        refuse(invocationId, timing.stopAdvice());
+      } else if (invocation.handover != null) {
         counters.add(Count.HANDOVERS);
-        call(number, it, it.handover, deadline);
+        startAttempt(invocationId, invocation, invocation.handover, deadline);
       } else {
         counters.add(Count.INVOCATIONS);
-        it.balanced = true;
-        balancer.request(events.now(), it.request);
+        invocation.balanced = true;
+        balancer.request(events.now(), invocation.request);
       }
     });
-    return number;
+    return invocationId;
   }
 
-  private void call(long number, Invocation it, String provider, long until) {
-    attempts.start(number, it, provider, until, limits.dial());
+  private void startAttempt(long invocationId, Invocation invocation, String provider, long attemptDeadline) {
+    attempts.start(invocationId, invocation, provider, attemptDeadline, limits.dial());
   }
 
-  /** A provider connection stands: the first line goes out on it, if there is still time. */
-  public void connected(long time, long number, long provider) {
-    event(time, () -> attempts.connected(number, provider));
+  /** A provider connection is connected: the open request goes out on it if there is still time. */
+  public void connected(long time, long invocationId, long connectionId) {
+    runEvent(time, () -> attempts.connected(invocationId, connectionId));
   }
 
-  /** The first line has been written whole to a provider connection. */
-  public void written(long time, long number, long provider) {
-    event(time, () -> attempts.written(number, provider));
+  /** The open request has been completely written to a provider connection. */
+  public void written(long time, long invocationId, long connectionId) {
+    runEvent(time, () -> attempts.written(invocationId, connectionId));
   }
 
-  /**
-   * An attempt has ended without UP. A connection that broke before the first line was forwarded on it counts as one
-   * that could not be made.
-   */
-  public void callEnded(long time, long number, long provider, Outcome outcome) {
-    event(time, () -> attempts.ended(number, provider, outcome));
+  /** An attempt ended without UP; a connection that broke before the open request was sent counts as not made. */
+  public void callEnded(long time, long invocationId, long connectionId, Outcome outcome) {
+    runEvent(time, () -> attempts.ended(invocationId, connectionId, outcome));
   }
 
-  /** What follows the end of a call without UP: the balancer decides, but for a connection handed over. */
-  private void over(long number, Invocation it, Outcome outcome, boolean unwilling) {
-    if (it.balanced) {
-      balancer.ended(events.now(), number, it.attempts - 1, outcome, events.now() - it.callStart, false);
+  /** Lets the balancer decide what follows an attempt without UP, except for a handover, which is retried. */
+  private void onAttemptEnded(long invocationId, Invocation invocation, Outcome outcome, boolean unwilling) {
+    if (invocation.balanced) {
+      balancer.ended(events.now(), invocationId, invocation.attempts - 1, outcome,
+          events.now() - invocation.callStart, false);
     } else {
-      handovers.again(number, it, unwilling);
+      handoverRetries.again(invocationId, invocation, unwilling);
     }
   }
 
-  /** A provider has answered UP: the client is served, if it is still there. */
-  public void up(long time, long number, long provider) {
-    event(time, () -> {
-      Invocation it = attempts.out(number, provider);
-      if (it == null) {
+  /** A provider has answered UP: lines are relayed from now on if the client is still connected. */
+  public void up(long time, long invocationId, long connectionId) {
+    runEvent(time, () -> {
+      Invocation invocation = attempts.out(invocationId, connectionId);
+      if (invocation == null) {
         return;
       }
       counters.add(Count.CALL_UP);
       counters.add(Count.ANSWERED_UP);
-      counters.outcomes().ended(it.type, Outcomes.Outcome.SERVED);
-      telemetry.called(number, it.called, null, events.now() - it.callStart);
-      telemetry.answered(number, Answer.UP, events.now() - it.arrived);
-      it.cancelTimers();
-      it.phase = Phase.UP;
-      it.told = schedules.told(it.called);
-      silence.joined(number, it);
-      commands.join(it.client, provider);
-      if (it.balanced) {
-        balancer.opened(events.now(), number, it.attempts - 1, events.now() - it.callStart);
+      counters.outcomes().ended(invocation.type, Outcomes.Outcome.SERVED);
+      telemetry.called(invocationId, invocation.called, null, events.now() - invocation.callStart);
+      telemetry.answered(invocationId, Answer.UP, events.now() - invocation.arrived);
+      invocation.cancelTimers();
+      invocation.phase = Phase.UP;
+      invocation.told = delaySchedules.told(invocation.called);
+      silenceDetector.joined(invocationId, invocation);
+      commands.join(invocation.client, connectionId);
+      if (invocation.balanced) {
+        balancer.opened(events.now(), invocationId, invocation.attempts - 1, events.now() - invocation.callStart);
       } else {
-        it.balanced = true;
-        it.attempts = 1;
-        balancer.handover(events.now(), it.request, it.handover);
+        invocation.balanced = true;
+        invocation.attempts = 1;
+        balancer.handover(events.now(), invocation.request, invocation.handover);
       }
     });
   }
 
-  /** The invocation joined on this connection, or null. */
-  private Invocation joined(long number, long provider) {
-    Invocation it = invocations.get(number);
-    return it != null && it.provider == provider && it.phase == Phase.UP ? it : null;
+  /** The invocation established on this provider connection, or null. */
+  private Invocation findEstablished(long invocationId, long connectionId) {
+    Invocation found = invocations.get(invocationId);
+    return found != null && found.provider == connectionId && found.phase == Phase.UP ? found : null;
   }
 
-  /** A joined connection's provider has sent a LOAD line with this figure; see {@link LoadReadings}. */
-  public void load(long time, long number, long provider, double figure) {
-    event(time, () -> {
-      Invocation it = joined(number, provider);
-      if (it == null) {
+  /** The provider of an established connection has sent a LOAD line; see {@link LoadReadings}. */
+  public void load(long time, long invocationId, long connectionId, double value) {
+    runEvent(time, () -> {
+      Invocation invocation = findEstablished(invocationId, connectionId);
+      if (invocation == null) {
         return;
       }
-      double before = it.told.load();
-      boolean delay = it.told.delay(events.now(), figure);
-      if (!delay || it.told.load() != before) {
-        balancer.load(events.now(), number, it.attempts - 1, it.told.load());
+      double previousLoad = invocation.told.load();
+      boolean isDelay = invocation.told.delay(events.now(), value);
+      if (!isDelay || invocation.told.load() != previousLoad) {
+        balancer.load(events.now(), invocationId, invocation.attempts - 1, invocation.told.load());
       }
-      if (delay) {
+      if (isDelay) {
         counters.add(Count.DELAYS);
-        balancer.delay(events.now(), number, it.attempts - 1, figure * MILLI);
+        balancer.delay(events.now(), invocationId, invocation.attempts - 1, value * MICROS_PER_MILLI);
       }
     });
   }
 
-  /** A line of the client has been passed to its provider. */
-  public void asked(long time, long number, long provider) {
-    silence.asked(time, number, joined(number, provider));
+  /** A line of the client has been relayed to its provider. */
+  public void asked(long time, long invocationId, long connectionId) {
+    silenceDetector.asked(time, invocationId, findEstablished(invocationId, connectionId));
   }
 
-  /** A line of the provider has come that is no mere figure of its load. */
-  public void returned(long time, long number, long provider) {
-    silence.returned(time, number, joined(number, provider));
+  /** A line of the provider other than LOAD has been received. */
+  public void returned(long time, long invocationId, long connectionId) {
+    silenceDetector.returned(time, invocationId, findEstablished(invocationId, connectionId));
   }
 
-  private void lose(Invocation it, long number) {
+  private void onSilent(Invocation invocation, long invocationId) {
     counters.add(Count.SILENT);
-    telemetry.silent(number, it.called);
-    commands.move(it.client);
-    end(number, it, Outcome.RESET);
+    telemetry.silent(invocationId, invocation.called);
+    commands.move(invocation.client);
+    end(invocationId, invocation, Outcome.RESET);
   }
 
-  /** A joined connection has ended, or its provider said that it will; the sockets are being closed. */
-  public void ended(long time, long number, long provider, Outcome outcome) {
-    event(time, () -> {
-      Invocation it = joined(number, provider);
-      if (it != null) {
+  /** An established connection has ended or its provider announced its end; the sockets are being closed. */
+  public void ended(long time, long invocationId, long connectionId, Outcome outcome) {
+    runEvent(time, () -> {
+      Invocation invocation = findEstablished(invocationId, connectionId);
+      if (invocation != null) {
         counters.add(switch (outcome) {
           case SERVED -> Count.ENDED_SERVED;
           case RESET -> Count.ENDED_RESET;
           default -> Count.ENDED_MOVED_AWAY;
         });
-        end(number, it, outcome);
+        end(invocationId, invocation, outcome);
       }
     });
   }
 
-  private void end(long number, Invocation it, Outcome outcome) {
-    it.cancelTimers();
-    silence.ended(number, it);
-    invocations.remove(number);
-    balancer.ended(events.now(), number, it.attempts - 1, outcome, events.now() - it.callStart, true);
+  private void end(long invocationId, Invocation invocation, Outcome outcome) {
+    invocation.cancelTimers();
+    silenceDetector.ended(invocationId, invocation);
+    invocations.remove(invocationId);
+    balancer.ended(events.now(), invocationId, invocation.attempts - 1, outcome,
+        events.now() - invocation.callStart, true);
   }
 
-  /** The client has left, before its answer or after. */
-  public void clientLeft(long time, long number) {
-    left(time, number, Outcomes.Outcome.REFUSED);
+  /** The client has disconnected, before its final answer or after it. */
+  public void clientLeft(long time, long invocationId) {
+    endByClient(time, invocationId, Outcomes.Outcome.REFUSED);
   }
 
-  /** The front has told the client that its invocation fails, and ends it. */
-  public void clientFailed(long time, long number) {
-    left(time, number, Outcomes.Outcome.FAILED);
+  /** The front has answered the client that its invocation failed, and closes the connection. */
+  public void clientFailed(long time, long invocationId) {
+    endByClient(time, invocationId, Outcomes.Outcome.FAILED);
   }
 
-  private void left(long time, long number, Outcomes.Outcome before) {
-    event(time, () -> {
-      Invocation it = invocations.get(number);
-      if (it == null) {
+  private void endByClient(long time, long invocationId, Outcomes.Outcome unansweredOutcome) {
+    runEvent(time, () -> {
+      Invocation invocation = invocations.get(invocationId);
+      if (invocation == null) {
         return;
       }
       counters.add(Count.CLIENT_LEFT);
-      if (it.phase == Phase.UP) {
-        end(number, it, Outcome.CANCELLED);
+      if (invocation.phase == Phase.UP) {
+        end(invocationId, invocation, Outcome.CANCELLED);
       } else {
-        answers.depart(number, it, before);
+        answers.depart(invocationId, invocation, unansweredOutcome);
       }
     });
   }
 
   @Override
   public void send(long request, String server, long timeout) {
-    Invocation it = invocations.get(request);
-    counters.invariant(it != null, "a call for an unknown invocation");
-    if (it != null) {
-      call(request, it, server, events.now() + timeout);
+    Invocation invocation = invocations.get(request);
+    counters.invariant(invocation != null, "attempt for an unknown invocation");
+    if (invocation != null) {
+      startAttempt(request, invocation, server, events.now() + timeout);
     }
   }
 
@@ -294,13 +288,13 @@
 
   @Override
   public void move(long request) {
-    Invocation it = invocations.get(request);
-    if (it != null && it.phase == Phase.UP) {
+    Invocation invocation = invocations.get(request);
+    if (invocation != null && invocation.phase == Phase.UP) {
       counters.add(Count.MOVED);
-      commands.move(it.client);
+      commands.move(invocation.client);
       events.after(() -> {
-        if (invocations.get(request) == it) {
-          end(request, it, Outcome.CANCELLED);
+        if (invocations.get(request) == invocation) {
+          end(request, invocation, Outcome.CANCELLED);
         }
       });
     }
@@ -317,17 +311,17 @@
     commands.ask(server);
   }
 
-  /** A provider has reported the load asked of it over what it can do, from 0 on. */
-  public void report(long time, String provider, double heat) {
-    event(time, () -> {
+  /** A provider has sent its load report: its utilization, demand over capacity, at least 0. */
+  public void report(long time, String provider, double utilization) {
+    runEvent(time, () -> {
       counters.add(Count.REPORTS);
-      balancer.report(events.now(), provider, heat);
+      balancer.report(events.now(), provider, utilization);
     });
   }
 
   @Override
   public void timer(long at, long token) {
-    wheel.arm(at, time -> event(time, () -> balancer.timer(events.now(), token)));
+    wheel.arm(at, time -> runEvent(time, () -> balancer.timer(events.now(), token)));
   }
 
   @Override
@@ -336,33 +330,31 @@
   }
 
   /**
-   * Stops in good order, see {@link Stopping}.
-   *
-   * @param succeeded whether another process serves in this one's place already
-   * @param done is run when nothing is owed and nobody is joined any more
+   * Begins a graceful stop ({@link Stopping}); {@code succeeded} if another process already serves in place of
+   * this one. Runs {@code done} when no invocation is pending, in flight or established any more.
    */
   public void stop(long time, boolean succeeded, Runnable done) {
-    event(time, () -> stopping.begin(time, limits.longest(), timing, succeeded, done));
+    runEvent(time, () -> gracefulStop.begin(time, limits.longest(), timing, succeeded, done));
   }
 
-  /** Calls with the key and the provider of each invocation that is joined to one. */
-  public void forEachStanding(BiConsumer<String, String> each) {
-    invocations.forEach(number -> {
-      Invocation it = invocations.get(number);
-      if (it.phase == Phase.UP) {
-        each.accept(it.request.client(), it.called);
+  /** Calls the action with the client key and the provider name of each established connection. */
+  public void forEachStanding(BiConsumer<String, String> action) {
+    invocations.forEach(invocationId -> {
+      Invocation invocation = invocations.get(invocationId);
+      if (invocation.phase == Phase.UP) {
+        action.accept(invocation.request.client(), invocation.called);
       }
     });
   }
 
-  /** These clients, by their keys, stood at these providers through another process, which now sends them here. */
+  /** Maps keys of clients to the providers they had through another process, which now sends the clients here. */
   public void bind(long time, Map<String, String> clients) {
-    event(time, () -> balancer.bind(events.now(), clients));
+    runEvent(time, () -> balancer.bind(events.now(), clients));
   }
 
-  /** These providers are taken out by hand from now on, whatever the directory says, and no others. */
+  /** Suspends exactly these providers, whatever the directory says, and resumes all others. */
   public void suspend(long time, Set<String> providers) {
-    event(time, () -> {
+    runEvent(time, () -> {
       Set.copyOf(suspended).stream().filter(name -> !providers.contains(name)).forEach(name -> {
         suspended.remove(name);
         balancer.resume(events.now(), name);
@@ -371,17 +363,17 @@
     });
   }
 
-  /** The providers that are taken out by hand. */
+  /** The providers that are suspended. */
   public Set<String> suspended() {
     return Set.copyOf(suspended);
   }
 
-  /** Whether the balancer passes this provider by now. */
+  /** Whether the balancer currently excludes this provider from new requests. */
   public boolean avoids(long time, String provider) {
     return balancer.avoids(Math.max(time, events.now()), provider);
   }
 
-  /** How many invocations are held, called or joined. */
+  /** The number of invocations that are pending, in flight or established. */
   public int size() {
     return invocations.size();
   }
--- a/proxy/src/main/java/amberhoist/core/Handovers.java
+++ b/proxy/src/main/java/amberhoist/core/Handovers.java
@@ -3,40 +3,39 @@
 import amberhoist.core.Invocation.Phase;
 import java.util.function.LongSupplier;
 
-/** Connections that stood before the start: the provider that has one is called for it until it answers. */
+/** Retries the provider of each connection that existed before this process started, until the provider answers. */
 final class Handovers {
-  /** By then one that is not up is lost. */
-  static final long MOST = 40_000_000;
-
-  private static final long PAUSE = 250_000; // between calls
-  private static final long DOUBT = 2_000_000; // a provider unknown or unwilling for this long
+  static final long MOST = 40_000_000; // a handover that is not established within this time is lost
+  private static final long RETRY_INTERVAL_MICROS = 250_000;
+  private static final long UNWILLING_TIMEOUT_MICROS = 2_000_000;
 
   private final SlotTable<Invocation> invocations;
   private final Wheel wheel;
   private final EventQueue events;
   private final Answers answers;
   private final Attempts attempts;
-  private final LongSupplier dial;
+  private final LongSupplier connectTimeoutMicros;
 
-  Handovers(SlotTable<Invocation> invocations, Wheel wheel, EventQueue events, Answers answers, Attempts attempts,
-      LongSupplier dial) {
+  Handovers(SlotTable<Invocation> invocations, Wheel wheel, EventQueue events, Answers answers,
+      Attempts attempts, LongSupplier connectTimeoutMicros) {
     this.invocations = invocations;
     this.wheel = wheel;
     this.events = events;
     this.answers = answers;
     this.attempts = attempts;
-    this.dial = dial;
+    this.connectTimeoutMicros = connectTimeoutMicros;
   }
 
-  /** A call for one has ended without UP. */
-  void again(long number, Invocation it, boolean unwilling) {
-    if (unwilling && events.now() - it.arrived >= DOUBT) {
-      answers.fail(number); // guards against waiting for a provider that never was, or never had this connection
+  /** An attempt has ended without UP: schedules the next, or fails the invocation. */
+  void again(long invocationId, Invocation invocation, boolean unwilling) {
+    if (unwilling && events.now() - invocation.arrived >= UNWILLING_TIMEOUT_MICROS) {
+      answers.fail(invocationId); // the provider may never have existed, or never had this connection
       return;
     }
-    wheel.arm(events.now() + PAUSE, at -> events.run(at, () -> {
-      if (invocations.get(number) == it && it.phase == Phase.WAITING) {
-        attempts.start(number, it, it.handover, it.request.deadline(), dial.getAsLong());
+    wheel.arm(events.now() + RETRY_INTERVAL_MICROS, at -> events.run(at, () -> {
+      if (invocations.get(invocationId) == invocation && invocation.phase == Phase.WAITING) {
+        attempts.start(invocationId, invocation, invocation.handover, invocation.request.deadline(),
+            connectTimeoutMicros.getAsLong());
       }
     }));
   }
--- a/proxy/src/main/java/amberhoist/core/Invocation.java
+++ b/proxy/src/main/java/amberhoist/core/Invocation.java
@@ -3,36 +3,35 @@
 import amberhoist.core.Wheel.Timer;
 import amberhoist.decide.Balancer.Request;
 
-/** One client's invocation, from its first line to the end of its connection. */
+/** One client's invocation, from its open request to the end of its connection. Times are in microseconds. */
 final class Invocation {
-  /** Where it stands. */
+  /** The stage that the invocation has reached. */
   enum Phase {
-    /** No attempt is out: the balancer holds it. */
+    /** No attempt is in flight: the balancer decides, or a handover waits for its next attempt. */
     WAITING,
-    /** An attempt is out whose connection does not stand yet: it has not run. */
+    /** An attempt is in flight whose provider has not connected yet: it cannot have run. */
     CONNECTING,
-    /** The first line has been handed to a connection that stands: whatever comes now, the attempt may have run. */
+    /** The open request was handed to a connected provider connection: from here on the attempt may have run. */
     SENT,
-    /** Client and provider are joined. */
+    /** Lines are relayed between client and provider. */
     UP
   }
 
   final long client;
-  LoadReadings told; // from the moment it is joined to a provider
+  LoadReadings told; // null until established
   final long arrived;
   final String type;
-  /** Set for a connection that stood before the start, and then the provider that has it. */
-  final String handover;
+  final String handover; // the provider that has the connection already; null for a new connection
   Request request;
   Phase phase = Phase.WAITING;
-  boolean balanced; // the balancer knows it
+  boolean balanced; // whether the balancer has been given the request
   long provider = SlotTable.NONE;
   int attempts;
-  String called; // the provider of the last call
+  String called; // the provider of the latest attempt
   long callStart;
   long callEnd;
-  Pulse pulse; // of the provider that it is joined to
-  long unanswered; // when the first client line went out that no line has followed, 0 for none
+  Pulse pulse; // of the provider; null until established
+  long unanswered; // when the first client line was relayed that no provider line has followed, 0 for none
   Timer dialTimer;
   Timer callTimer;
   Timer deadlineTimer;
@@ -45,7 +44,7 @@
     this.handover = handover;
   }
 
-  /** Whether an attempt is out. */
+  /** Whether an attempt is in flight. */
   boolean calling() {
     return phase == Phase.CONNECTING || phase == Phase.SENT;
   }
--- a/proxy/src/main/java/amberhoist/core/Overdue.java
+++ b/proxy/src/main/java/amberhoist/core/Overdue.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * The last moment for an answer, when an invocation's time is up or the proxy's. An attempt that is out ends by what
- * may have come of it, so that the balancer's answer promises no more than holds.
+ * Answers invocations at the last moment: at their deadline, or when the proxy stops. An attempt in flight is ended
+ * first, by whether it may have run, so that the balancer's answer promises only what is known.
  */
 final class Overdue {
   private final SlotTable<Invocation> invocations;
@@ -17,8 +17,8 @@
   private final Balancer balancer;
   private final Counters counters;
 
-  Overdue(SlotTable<Invocation> invocations, EventQueue events, Attempts attempts, Answers answers, Balancer balancer,
-      Counters counters) {
+  Overdue(SlotTable<Invocation> invocations, EventQueue events, Attempts attempts, Answers answers,
+      Balancer balancer, Counters counters) {
     this.invocations = invocations;
     this.events = events;
     this.attempts = attempts;
@@ -27,29 +27,29 @@
     this.counters = counters;
   }
 
-  /** An invocation's time is up. The balancer answers earlier; this guards the rule should it not. */
-  void deadline(long number) {
-    Invocation it = invocations.get(number);
-    if (it != null && it.balanced) {
-      attempts.expire(number, it);
+  /** The deadline of an invocation expired. The balancer should have answered earlier; if not, rejects here. */
+  void deadline(long invocationId) {
+    Invocation invocation = invocations.get(invocationId);
+    if (invocation != null && invocation.balanced) {
+      attempts.expire(invocationId, invocation);
     }
-    it = invocations.get(number);
-    if (it != null && it.phase != Phase.UP) {
-      counters.invariant(!it.balanced, "no answer at the deadline");
-      answers.giveUp(number, it, 0);
+    invocation = invocations.get(invocationId);
+    if (invocation != null && invocation.phase != Phase.UP) {
+      counters.invariant(!invocation.balanced, "no answer by the deadline");
+      answers.giveUp(invocationId, invocation, 0);
     }
   }
 
-  /** The proxy ends: no more attempts are made, and whoever is owed an answer gets it. */
-  void close(List<Long> owed, long advice) {
+  /** The proxy stops: lets the balancer answer its requests, then rejects the invocations still unanswered. */
+  void close(List<Long> unanswered, long retryAfter) {
     balancer.close(events.now());
-    for (long number : owed) {
-      Invocation it = invocations.get(number);
-      if (it != null && it.balanced) {
-        attempts.expire(number, it);
+    for (long invocationId : unanswered) {
+      Invocation invocation = invocations.get(invocationId);
+      if (invocation != null && invocation.balanced) {
+        attempts.expire(invocationId, invocation);
       }
-      if (it != null && invocations.get(number) == it) {
-        answers.giveUp(number, it, advice);
+      if (invocation != null && invocations.get(invocationId) == invocation) {
+        answers.giveUp(invocationId, invocation, retryAfter);
       }
     }
   }
