--- a/proxy/src/main/java/amberhoist/core/Core.java
+++ b/proxy/src/main/java/amberhoist/core/Core.java
@@ -69,10 +69,10 @@
   }
 
   /** Starts the balancer with the providers that this proxy last knew. */
-  public void start(long time, Settings settings, long seed, List<Server> known) {
+  public void start(long time, Settings settings, long seed, List<Server> knownProviders) {
     runEvent(time, () -> {
       balancer.start(events.now(), settings, seed, this);
-      balancer.members(events.now(), ListKind.STALE, known);
+      balancer.members(events.now(), ListKind.STALE, knownProviders);
     });
   }
 
@@ -92,17 +92,17 @@
   }
 
   /** A client requests a connection; returns the id of the invocation, which may already have been answered. */
-  public long invocation(long time, long clientId, Arrival arrival) {
-    Invocation invocation = new Invocation(clientId, time, arrival.type(), arrival.provider());
+  public long invocation(long time, long clientId, Arrival request) {
+    Invocation invocation = new Invocation(clientId, time, request.type(), request.provider());
     long invocationId = invocations.add(invocation);
     counters.outcomes().taken(invocation.type);
     runEvent(time, () -> {
-      long wait = Math.max(0, arrival.waitMillis() * 1000 - timing.answerMargin());
+      long wait = Math.max(0, request.waitMillis() * 1000 - timing.answerMargin());
       long deadline = events.now() + (invocation.handover == null ? wait : Math.min(wait, Handovers.MOST));
-      invocation.request = new Request(invocationId, arrival.type(), arrival.tenant(), arrival.key(), deadline,
-          arrival.hint(), arrival.group(), arrival.retry(), arrival.returning());
+      invocation.request = new Request(invocationId, request.type(), request.tenant(), request.key(), deadline,
+          request.hint(), request.group(), request.retry(), request.returning());
       invocation.deadlineTimer = wheel.arm(deadline, at -> runEvent(at, () -> deadlineExpiry.deadline(invocationId)));
-      if (!limits.names(arrival)) {
+      if (!limits.names(request)) {
         // An invocation that no provider can serve would occupy a place at one and cost retry tokens.
         counters.add(Count.MALFORMED);
         fail(invocationId);
@@ -348,8 +348,8 @@
   }
 
   /** Maps keys of clients to the providers they had through another process, which now sends the clients here. */
-  public void bind(long time, Map<String, String> clients) {
-    runEvent(time, () -> balancer.bind(events.now(), clients));
+  public void bind(long time, Map<String, String> providersByClient) {
+    runEvent(time, () -> balancer.bind(events.now(), providersByClient));
   }
 
   /** Suspends exactly these providers, whatever the directory says, and resumes all others. */
--- a/proxy/src/main/java/amberhoist/core/Limits.java
+++ b/proxy/src/main/java/amberhoist/core/Limits.java
@@ -11,8 +11,8 @@
  * @param tenants the known tenants; empty if any is accepted
  */
 public record Limits(long dial, long longest, Set<String> types, Set<String> tenants) {
-  boolean names(Arrival arrival) {
-    return (types.isEmpty() || types.contains(arrival.type()))
-        && (tenants.isEmpty() || arrival.tenant() != null && tenants.contains(arrival.tenant()));
+  boolean names(Arrival request) {
+    return (types.isEmpty() || types.contains(request.type()))
+        && (tenants.isEmpty() || request.tenant() != null && tenants.contains(request.tenant()));
   }
 }
--- a/proxy/src/main/java/amberhoist/core/LoadReadings.java
+++ b/proxy/src/main/java/amberhoist/core/LoadReadings.java
@@ -20,7 +20,7 @@
   private static final double MAX_DELAY_MILLIS = 3000; // without a hang; most loads are larger numbers
   private static final long FIRST_LINE_TOLERANCE_MICROS = 5_000; // 1 in 100 loads arrives this close by chance
   private static final long RESUME_TIMEOUT_MICROS = 3 * PERIOD; // for a run to go on over another connection
-  private static final double MIN_DROP_RATIO = 30; // of load to first delay: 1 load line in 200, most first delays
+  private static final double MIN_DROP_RATIO = 30; // from load to value: in 1 load line of 200, but most first delays
   private static final int KEPT_LINES = 4; // a load or two may come between two delays
 
   /** When one provider sends its delays, as far as this proxy has seen. */
--- a/proxy/src/main/java/amberhoist/core/Stopping.java
+++ b/proxy/src/main/java/amberhoist/core/Stopping.java
@@ -16,7 +16,7 @@
 final class Stopping {
   private static final long MOVE_INTERVAL_MICROS = 20_000;
   private static final long MIN_STOP_MICROS = 1_000_000; // so that late arrivals still get an answer
-  private static final double MAX_HOLD_FRACTION = 0.55; // of the time until the end, where that is short
+  private static final double MAX_MOVE_DELAY_FRACTION = 0.55; // of the duration of a short stop
   private static final long LAST_MOVES_MICROS = 150_000; // out of the 0.7 s until the process is killed
 
   private final SlotTable<Invocation> invocations;
@@ -43,18 +43,19 @@
     return rejecting;
   }
 
-  /** Begins the stop, once only; {@code done} runs when no invocation is left, {@code deadlines} in microseconds. */
-  void begin(long time, long deadlines, Timing timing, boolean succeeded, Runnable done) {
+  /** Begins the stop, once only; {@code done} runs when no invocation is left. */
+  void begin(long time, long maxClientWaitMicros, Timing timing, boolean succeeded, Runnable done) {
     if (onStopped != null) {
       return;
     }
     onStopped = done;
-    long longest = Math.min(deadlines, timing.stopLongest());
-    long hold = succeeded ? 0
-        : Math.max(timing.stopRouted(), Math.min(timing.stopHold(), (long) (MAX_HOLD_FRACTION * longest)));
-    long end = time + longest + LAST_MOVES_MICROS;
+    long duration = Math.min(maxClientWaitMicros, timing.stopLongest());
+    long moveDelay = succeeded ? 0
+        : Math.max(timing.stopRouted(),
+            Math.min(timing.stopHold(), (long) (MAX_MOVE_DELAY_FRACTION * duration)));
+    long end = time + duration + LAST_MOVES_MICROS;
     wheel.arm(time + timing.stopRouted(), at -> events.run(at, () -> rejecting = true));
-    wheel.arm(time + hold, at -> step(at, Math.min(end, time + MIN_STOP_MICROS), end));
+    wheel.arm(time + moveDelay, at -> step(at, Math.min(end, time + MIN_STOP_MICROS), end));
   }
 
   private void step(long time, long minEnd, long end) {
