--- a/lab/src/main/java/amberhoist/lab/Flood.java
+++ b/lab/src/main/java/amberhoist/lab/Flood.java
@@ -119,7 +119,7 @@
     long end = System.nanoTime() + PATIENCE * 1_000_000L;
     while (true) {
       try {
-        return new ObjectMapper().readTree(AdminClient.ask(UnixDomainSocketAddress.of(socket), "/status"));
+        return new ObjectMapper().readTree(AdminClient.get(UnixDomainSocketAddress.of(socket), "/status"));
       } catch (IOException notYet) {
         if (!process.isAlive() || System.nanoTime() > end) {
           throw new IOException("the proxy does not answer: " + notYet.getMessage(), notYet);
--- a/lab/src/main/java/amberhoist/lab/TryOut.java
+++ b/lab/src/main/java/amberhoist/lab/TryOut.java
@@ -54,7 +54,7 @@
     b = new StandInProvider("toy-b", 0, this::passes);
     directory = new StandInDirectory(0, this::passes);
     directory.tell(a.entry("active"), b.entry("active"));
-    EventLog.choose(LogSettings.Format.TEXT);
+    EventLog.selectBackend(LogSettings.Format.TEXT);
     Path platform = Files.createTempFile("amberhoist-try", ".json");
     try {
       Files.writeString(platform, platform());
--- a/lab/src/main/java/amberhoist/lab/emulator/Checker.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/Checker.java
@@ -1,7 +1,7 @@
 package amberhoist.lab.emulator;
 
 import amberhoist.decide.Balancer.Server;
-import amberhoist.decide.Balancer.State;
+import amberhoist.decide.Balancer.ServerState;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -84,8 +84,8 @@
 
   /** A proxy is told of a provider. News may overtake one another: what is told of an earlier start counts no more. */
   void told(EmulatedProxy proxy, Server server) {
-    news.merge(proxy.index + "/" + server.name(), new News(server.since(),
-        server.state() == State.READY ? 0 : world.time.now()), (old, told) -> told.start() < old.start() ? old
+    news.merge(proxy.index + "/" + server.name(), new News(server.startedAt(),
+        server.state() == ServerState.READY ? 0 : world.time.now()), (old, told) -> told.start() < old.start() ? old
             : told.drainTold() > 0 && old.drainTold() > 0 ? new News(told.start(), old.drainTold()) : told);
   }
 
--- a/lab/src/main/java/amberhoist/lab/emulator/EmulatedClient.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/EmulatedClient.java
@@ -1,6 +1,6 @@
 package amberhoist.lab.emulator;
 
-import amberhoist.core.Arrival;
+import amberhoist.core.InvocationRequest;
 import amberhoist.lab.experiment.Experiment.Type;
 
 /** A client: it wants a connection for as long as it lives, and comes again until it has one. */
@@ -57,8 +57,8 @@
   }
 
   /** What it asks a proxy for. */
-  Arrival arrival() {
-    return new Arrival(type.name(), world.experiment.tenants().get(tenantIndex).name(), key, groupName,
+  InvocationRequest arrival() {
+    return new InvocationRequest(type.name(), world.experiment.tenants().get(tenantIndex).name(), key, groupName,
         type.deadline().toMillis(), world.experiment.load().hints() ? usual : 0, false, returning, null);
   }
 
--- a/lab/src/main/java/amberhoist/lab/emulator/EmulatedProvider.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/EmulatedProvider.java
@@ -2,7 +2,7 @@
 
 import amberhoist.decide.Balancer.Outcome;
 import amberhoist.decide.Balancer.Server;
-import amberhoist.decide.Balancer.State;
+import amberhoist.decide.Balancer.ServerState;
 import amberhoist.lab.experiment.Experiment.Kind;
 import amberhoist.lab.experiment.Experiment.Shed;
 import amberhoist.lab.experiment.Experiment.Type;
@@ -101,7 +101,7 @@
 
   /** As the directory lists it. */
   Server listed() {
-    State state = !process || vanished ? State.GONE : draining ? State.DRAINING : State.READY;
+    ServerState state = !process || vanished ? ServerState.GONE : draining ? ServerState.DRAINING : ServerState.READY;
     return new Server(name, zone, kind.name(), 0, state, 1, startedAt);
   }
 
--- a/lab/src/main/java/amberhoist/lab/emulator/EmulatedProxy.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/EmulatedProxy.java
@@ -5,8 +5,8 @@
 import amberhoist.core.Limits;
 import amberhoist.core.SlotTable;
 import amberhoist.core.Telemetry;
-import amberhoist.core.Wheel;
-import amberhoist.decide.Balancer.ListKind;
+import amberhoist.core.TimerWheel;
+import amberhoist.decide.Balancer.ListUpdateKind;
 import amberhoist.decide.Balancer.Outcome;
 import amberhoist.decide.Balancer.Server;
 import amberhoist.metrics.Counters;
@@ -25,7 +25,7 @@
   private final SlotTable<Attempt> attempts = new SlotTable<>();
   private Counters counters = new Counters();
   private Core core;
-  private Wheel wheel;
+  private TimerWheel wheel;
   private int life;
   private boolean alive;
 
@@ -56,7 +56,7 @@
     alive = true;
     life++;
     long now = world.time.now();
-    wheel = new Wheel(TICK, now);
+    wheel = new TimerWheel(TICK, now);
     Limits limits = new Limits(DIAL, world.longestDeadline(), Set.of(), Set.of());
     core = new Core(world.module(), wheel, this, counters, limits, world.timing(), Telemetry.NONE);
     world.checker.starts(this, known);
@@ -115,7 +115,7 @@
       visit.invocation = -1;
       return;
     }
-    visit.invocation = core.invocation(world.time.now(), visit.number, visit.client.arrival());
+    visit.invocation = core.onInvocation(world.time.now(), visit.number, visit.client.arrival());
   }
 
   /** The client has ended its connection. */
@@ -125,17 +125,17 @@
       if (visit.joined != null) {
         close(visit.joined);
       }
-      core.clientLeft(world.time.now(), visit.invocation);
+      core.onClientDisconnected(world.time.now(), visit.invocation);
     }
   }
 
-  void told(ListKind kind, List<Server> servers) {
+  void told(ListUpdateKind kind, List<Server> servers) {
     if (alive) {
       servers.forEach(server -> world.checker.told(this, server));
       if (world.mutant == Mutant.HEARS_NO_NEWS) {
         return;
       }
-      core.directory(world.time.now(), kind, servers);
+      core.onDirectoryUpdate(world.time.now(), kind, servers);
     }
   }
 
@@ -144,20 +144,20 @@
     if (world.mutant == Mutant.MISSES_SILENCE) {
       return;
     }
-    core.asked(world.time.now(), attempt.invocation, attempt.number);
+    core.onClientLine(world.time.now(), attempt.invocation, attempt.number);
   }
 
   /** A message of the provider passes. */
   void returned(Attempt attempt) {
     if (holds(attempt)) {
-      core.returned(world.time.now(), attempt.invocation, attempt.number);
+      core.onProviderLine(world.time.now(), attempt.invocation, attempt.number);
     }
   }
 
   /** A LOAD line comes, with the load or with a delay in milliseconds. */
   void load(Attempt attempt, double figure) {
     if (holds(attempt)) {
-      core.load(world.time.now(), attempt.invocation, attempt.number, figure);
+      core.onLoadLine(world.time.now(), attempt.invocation, attempt.number, figure);
     }
   }
 
@@ -170,14 +170,14 @@
   void answered(Attempt attempt, Outcome outcome) {
     if (holds(attempt)) {
       conclude(attempt);
-      core.callEnded(world.time.now(), attempt.invocation, attempt.number, outcome);
+      core.onAttemptFailed(world.time.now(), attempt.invocation, attempt.number, outcome);
     }
   }
 
   void up(Attempt attempt) {
     if (holds(attempt)) {
       conclude(attempt);
-      core.up(world.time.now(), attempt.invocation, attempt.number);
+      core.onUp(world.time.now(), attempt.invocation, attempt.number);
     }
   }
 
@@ -199,7 +199,7 @@
       world.time.after(world.clientDelay(),
           () -> visit.client.ended(visit, outcome == Outcome.CANCELLED));
     }
-    core.ended(world.time.now(), attempt.invocation, attempt.number, outcome);
+    core.onConnectionEnded(world.time.now(), attempt.invocation, attempt.number, outcome);
   }
 
   private void conclude(Attempt attempt) {
@@ -220,7 +220,7 @@
   }
 
   @Override
-  public long dial(long invocation, long client, String provider) {
+  public long connect(long invocation, long client, String provider) {
     Visit visit = visits.get(client);
     EmulatedProvider target = misled(world.provider(provider));
     if (visit == null || target == null) {
@@ -236,7 +236,7 @@
     } else if (target.reachable(this)) {
       world.time.after(2 * way * world.experiment.network().handshakes(), () -> {
         if (holds(attempt)) {
-          core.connected(world.time.now(), attempt.invocation, attempt.number);
+          core.onConnected(world.time.now(), attempt.invocation, attempt.number);
         }
       });
     }
@@ -244,7 +244,7 @@
   }
 
   @Override
-  public void forward(long provider, long millis) {
+  public void forwardOpenRequest(long provider, long millis) {
     Attempt attempt = attempts.get(provider);
     if (attempt == null) {
       return;
@@ -259,7 +259,7 @@
     long now = world.time.now();
     world.time.at(now, () -> {
       if (holds(attempt)) {
-        core.written(world.time.now(), attempt.invocation, attempt.number);
+        core.onOpenRequestWritten(world.time.now(), attempt.invocation, attempt.number);
       }
     });
     world.time.after(world.delay(zone, attempt.provider.zone), () -> attempt.provider.arrive(attempt));
@@ -285,7 +285,7 @@
   }
 
   @Override
-  public void join(long client, long provider) {
+  public void relay(long client, long provider) {
     Visit visit = visits.get(client);
     Attempt attempt = attempts.get(provider);
     if (visit == null || attempt == null) {
@@ -355,7 +355,7 @@
   }
 
   @Override
-  public void ask(String provider) {
+  public void requestLoadReport(String provider) {
     EmulatedProvider target = world.provider(provider);
     int ofLife = life;
     if (target != null && target.answers(this)) {
@@ -364,7 +364,7 @@
         double heat = target.heat();
         world.time.after(world.delay(zone, target.zone), () -> {
           if (alive && life == ofLife && target.answers(this)) {
-            core.report(world.time.now(), target.name, heat);
+            core.onLoadReport(world.time.now(), target.name, heat);
           }
         });
       });
@@ -372,7 +372,7 @@
   }
 
   @Override
-  public void watch() {
+  public void watchDirectory() {
     // it is always watched here; a directory that fails is a fault of the time line
   }
 
--- a/lab/src/main/java/amberhoist/lab/emulator/RandomBalancer.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/RandomBalancer.java
@@ -32,12 +32,12 @@
   }
 
   @Override
-  public void members(long now, ListKind kind, List<Server> servers) {
-    if (kind == ListKind.FULL || kind == ListKind.STALE) {
+  public void onServerList(long now, ListUpdateKind kind, List<Server> servers) {
+    if (kind == ListUpdateKind.FULL || kind == ListUpdateKind.STALE) {
       ready.clear();
     }
     for (Server server : servers) {
-      if (server.state() == State.READY) {
+      if (server.state() == ServerState.READY) {
         ready.put(server.name(), server);
       } else {
         ready.remove(server.name());
@@ -46,12 +46,12 @@
   }
 
   @Override
-  public void handover(long now, Request request, String server) {
+  public void onHandover(long now, Request request, String server) {
     // it stands, and nothing is owed for it
   }
 
   @Override
-  public void request(long now, Request request) {
+  public void onRequest(long now, Request request) {
     owed.put(request.id(), request);
     call(now, request, 0);
   }
@@ -60,20 +60,20 @@
     long left = request.deadline() - now;
     if (closing || ready.isEmpty() || attempts >= settings.maxAttempts() || left < LEAST) {
       owed.remove(request.id());
-      actions.refuse(request.id(), settings.maxRetryAfter());
+      actions.reject(request.id(), settings.maxRetryAfterMicros());
       return;
     }
     List<String> names = new ArrayList<>(ready.keySet());
-    actions.send(request.id(), names.get(random.nextInt(names.size())), left - LEAST / 2);
+    actions.startAttempt(request.id(), names.get(random.nextInt(names.size())), left - LEAST / 2);
   }
 
   @Override
-  public void opened(long now, long request, int attempt, long latency) {
+  public void onEstablished(long now, long request, int attempt, long latency) {
     owed.remove(request);
   }
 
   @Override
-  public void ended(long now, long request, int attempt, Outcome outcome, long latency, boolean closed) {
+  public void onAttemptEnded(long now, long request, int attempt, Outcome outcome, long latency, boolean closed) {
     Request it = owed.get(request);
     if (!closed && it != null) {
       call(now, it, attempt + 1);
@@ -81,32 +81,32 @@
   }
 
   @Override
-  public void load(long now, long request, int attempt, double load) {
+  public void onLoad(long now, long request, int attempt, double load) {
     // it places without regard to loads
   }
 
   @Override
-  public void delay(long now, long request, int attempt, double micros) {
+  public void onQueueingDelay(long now, long request, int attempt, double micros) {
     // nor to delays
   }
 
   @Override
-  public void report(long now, String server, double heat) {
+  public void onLoadReport(long now, String server, double heat) {
     // it asks for none
   }
 
   @Override
-  public boolean confirms(long now, long request) {
+  public boolean shouldSend(long now, long request) {
     return true;
   }
 
   @Override
-  public void close(long now) {
+  public void stopAttempts(long now) {
     closing = true;
   }
 
   @Override
-  public void departed(long now, long request) {
+  public void onClientDisconnected(long now, long request) {
     owed.remove(request);
   }
 
@@ -117,15 +117,15 @@
   public void resume(long now, String server) {}
 
   @Override
-  public void bind(long now, Map<String, String> clients) {}
+  public void restoreAffinity(long now, Map<String, String> clients) {}
 
   @Override
-  public boolean avoids(long now, String server) {
+  public boolean isExcluded(long now, String server) {
     return false;
   }
 
   @Override
-  public void timer(long now, long token) {
+  public void onTimer(long now, long token) {
     // it asks for none
   }
 }
--- a/lab/src/main/java/amberhoist/lab/emulator/World.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/World.java
@@ -2,13 +2,13 @@
 
 import amberhoist.core.Timing;
 import amberhoist.decide.Balancer;
+import amberhoist.decide.Balancer.ConnectionValue;
+import amberhoist.decide.Balancer.DedupScope;
 import amberhoist.decide.Balancer.Effect;
-import amberhoist.decide.Balancer.ListKind;
+import amberhoist.decide.Balancer.ListUpdateKind;
 import amberhoist.decide.Balancer.RequestClass;
-import amberhoist.decide.Balancer.Scope;
 import amberhoist.decide.Balancer.Server;
 import amberhoist.decide.Balancer.Settings;
-import amberhoist.decide.Balancer.Value;
 import amberhoist.decide.Policy;
 import amberhoist.lab.experiment.Experiment;
 import amberhoist.lab.experiment.Experiment.Kind;
@@ -253,7 +253,7 @@
     Server listed = provider.listed();
     for (EmulatedProxy proxy : proxies) {
       long late = chance.between(micros(experiment.directory().lateLeast()), micros(experiment.directory().lateMost()));
-      time.at(Math.max(time.now(), directoryBack) + late, () -> proxy.told(ListKind.CHANGES, List.of(listed)));
+      time.at(Math.max(time.now(), directoryBack) + late, () -> proxy.told(ListUpdateKind.CHANGES, List.of(listed)));
     }
   }
 
@@ -339,20 +339,21 @@
     return new Chance(seed, 1000L + 1000L * proxy + life).bits();
   }
 
-  private Value value() {
+  private ConnectionValue value() {
     Map<String, Double> shares = new HashMap<>();
     for (int i = 0; i < tenantShares.length; i++) {
       shares.put(experiment.tenants().get(i).name(), covered(i));
     }
-    return new Value(experiment.load().byWork(), experiment.load().overShare(), shares);
+    return new ConnectionValue(experiment.load().byWork(), experiment.load().overShare(), shares);
   }
 
   /** What the platform would tell the module of this world. */
   Settings settings(int index, String zone) {
     double coldShare = experiment.kinds().stream().mapToDouble(Kind::coldShare).min().orElse(1);
     long coldTime = experiment.kinds().stream().mapToLong(kind -> micros(kind.coldTime())).max().orElse(0);
-    List<RequestClass> classes = experiment.classes().stream().map(type -> new RequestClass(type.name(), Effect.SAFE,
-        Scope.ALL, micros(type.aim()), 0, type.worth(), micros(type.message()))).toList();
+    List<RequestClass> classes = experiment.classes().stream()
+        .map(type -> new RequestClass(type.name(), Effect.IDEMPOTENT,
+        DedupScope.ALL, micros(type.aim()), 0, type.worth(), micros(type.message()))).toList();
     double others = mutant == Mutant.RAMPS_AS_IF_ALONE ? proxies.size() : 1;
     return new Settings(zone, index, proxies.size(), classes, true, 10 * SECOND, 6, MOST_ADVICE, 0.02, 0.03, coldShare,
         coldTime, others * experiment.fleet().coldMultiple(), micros(experiment.fleet().coldWindow()),
--- a/lab/src/main/java/amberhoist/lab/slope/Measurement.java
+++ b/lab/src/main/java/amberhoist/lab/slope/Measurement.java
@@ -1,7 +1,7 @@
 package amberhoist.lab.slope;
 
 import amberhoist.clock.Clock;
-import amberhoist.directory.News;
+import amberhoist.directory.DirectoryUpdate;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
@@ -107,7 +107,7 @@
       byte[] list = list(size);
       long before = System.nanoTime();
       try {
-        if (News.parse(list, new Clock()).providers().size() != size) {
+        if (DirectoryUpdate.parse(list, new Clock()).providers().size() != size) {
           throw new IllegalStateException("entries are missing");
         }
       } catch (IOException impossible) {
--- a/lab/src/main/java/amberhoist/lab/slope/ModuleBench.java
+++ b/lab/src/main/java/amberhoist/lab/slope/ModuleBench.java
@@ -1,15 +1,15 @@
 package amberhoist.lab.slope;
 
 import amberhoist.decide.Balancer;
+import amberhoist.decide.Balancer.ConnectionValue;
+import amberhoist.decide.Balancer.DedupScope;
 import amberhoist.decide.Balancer.Effect;
-import amberhoist.decide.Balancer.ListKind;
+import amberhoist.decide.Balancer.ListUpdateKind;
 import amberhoist.decide.Balancer.Request;
 import amberhoist.decide.Balancer.RequestClass;
-import amberhoist.decide.Balancer.Scope;
 import amberhoist.decide.Balancer.Server;
+import amberhoist.decide.Balancer.ServerState;
 import amberhoist.decide.Balancer.Settings;
-import amberhoist.decide.Balancer.State;
-import amberhoist.decide.Balancer.Value;
 import amberhoist.decide.Policy;
 import java.util.ArrayList;
 import java.util.List;
@@ -31,14 +31,14 @@
 
   ModuleBench(int providers, int groups, boolean reports) {
     this.groups = groups;
-    RequestClass type = new RequestClass("c", Effect.SAFE, Scope.ALL, 300 * MILLI, WAIT, 1, 100 * MILLI);
+    RequestClass type = new RequestClass("c", Effect.IDEMPOTENT, DedupScope.ALL, 300 * MILLI, WAIT, 1, 100 * MILLI);
     balancer.start(now, new Settings("z", 0, PROXIES, List.of(type), false, 10 * SECOND, 4, 600 * MILLI, 0, 0, 0.3,
-        9 * SECOND, 2.5, 3 * SECOND, Value.NONE, reports), 7, this);
+        9 * SECOND, 2.5, 3 * SECOND, ConnectionValue.DEFAULT, reports), 7, this);
     List<Server> servers = new ArrayList<>();
     for (int i = 0; i < providers; i++) {
-      servers.add(new Server(provider(i), "z", "k", 0, State.READY, 1, 0));
+      servers.add(new Server(provider(i), "z", "k", 0, ServerState.READY, 1, 0));
     }
-    balancer.members(now, ListKind.FULL, servers);
+    balancer.onServerList(now, ListUpdateKind.FULL, servers);
   }
 
   static String provider(int i) {
@@ -53,8 +53,8 @@
   /** Takes over a connection that stands at this provider. */
   void stand(int provider) {
     Request request = request();
-    balancer.handover(now, request, provider(provider));
-    balancer.load(now, request.id(), 0, LOAD);
+    balancer.onHandover(now, request, provider(provider));
+    balancer.onLoad(now, request.id(), 0, LOAD);
   }
 
   /** Places a connection, which stands and then ends; whether it found a provider. */
@@ -62,18 +62,18 @@
     Request request = request();
     now += MILLI;
     sentTo = null;
-    balancer.request(now, request);
+    balancer.onRequest(now, request);
     if (sentTo == null) {
       return false;
     }
-    balancer.opened(now, request.id(), 0, 0); // at once, so that no pacing of set-ups is measured
-    balancer.ended(now, request.id(), 0, Balancer.Outcome.SERVED, MILLI, true);
+    balancer.onEstablished(now, request.id(), 0, 0); // at once, so that no pacing of set-ups is measured
+    balancer.onAttemptEnded(now, request.id(), 0, Balancer.Outcome.SERVED, MILLI, true);
     return true;
   }
 
   /** A provider reports the part of what it can do that is asked of it. */
   void report(int provider, double heat) {
-    balancer.report(now, provider(provider), heat);
+    balancer.onLoadReport(now, provider(provider), heat);
   }
 
   /** Lets a second pass, with every timer that falls due. */
@@ -82,18 +82,18 @@
     while (timerAt <= end) {
       now = timerAt;
       timerAt = Long.MAX_VALUE;
-      balancer.timer(now, 0);
+      balancer.onTimer(now, 0);
     }
     now = end;
   }
 
   @Override
-  public void send(long request, String server, long timeout) {
+  public void startAttempt(long request, String server, long timeout) {
     sentTo = server;
   }
 
   @Override
-  public void refuse(long request, long retryAfter) {
+  public void reject(long request, long retryAfter) {
     // tried no more
   }
 
@@ -113,12 +113,12 @@
   }
 
   @Override
-  public void ask(String server) {
+  public void requestLoadReport(String server) {
     // reports come as the measurement has them
   }
 
   @Override
-  public void timer(long at, long token) {
+  public void scheduleTimer(long at, long token) {
     timerAt = at;
   }
 
--- a/proxy/src/main/java/amberhoist/admin/AdminClient.java
+++ b/proxy/src/main/java/amberhoist/admin/AdminClient.java
@@ -16,7 +16,7 @@
    *
    * @throws IOException if there is no response, or its status is not 200
    */
-  public static String ask(SocketAddress address, String path) throws IOException {
+  public static String get(SocketAddress address, String path) throws IOException {
     try (SocketChannel channel = SocketChannel.open(address)) {
       ByteBuffer request = ByteBuffer.wrap(
           ("GET " + path + " HTTP/1.1\r\nHost: admin\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
--- a/proxy/src/main/java/amberhoist/admin/AdminSocket.java
+++ b/proxy/src/main/java/amberhoist/admin/AdminSocket.java
@@ -64,7 +64,7 @@
     server.bind(address, 16);
     this.address = server.getLocalAddress();
     daemon(this::serve, "admin").start();
-    log.tell(Event.ADMIN_LISTENS, "the admin socket listens", "address", this.address);
+    log.log(Event.ADMIN_LISTENS, "the admin socket listens", "address", this.address);
   }
 
   /** Deletes a socket file that a killed process left behind, but not one that another process listens on. */
@@ -98,7 +98,7 @@
         withTimeout(client, () -> send(client, response));
       } catch (IOException | RuntimeException fault) {
         if (server.isOpen()) {
-          log.tell(Event.ADMIN_FAILED, "cannot answer a request", "why", fault);
+          log.log(Event.ADMIN_FAILED, "cannot answer a request", "why", fault);
         }
       }
     }
--- a/proxy/src/main/java/amberhoist/admin/Exposition.java
+++ b/proxy/src/main/java/amberhoist/admin/Exposition.java
@@ -39,7 +39,7 @@
             .forEach(provider -> out.call(provider.standing(), provider.name(), provider.state())))
         .register(registry);
     spans.forEach((span, histogram) -> SummaryWithCallback.builder()
-        .name("amberhoist_" + span.name().toLowerCase(Locale.ROOT)).unit(Unit.SECONDS).help(span.meaning())
+        .name("amberhoist_" + span.name().toLowerCase(Locale.ROOT)).unit(Unit.SECONDS).help(span.helpText())
         .callback(out -> out.call(histogram.getTotalCount(),
             histogram.getMean() * histogram.getTotalCount() / MICROS_PER_SECOND,
             Quantiles.of(quantile(histogram, 0.5), quantile(histogram, 0.9), quantile(histogram, 0.99),
--- a/proxy/src/main/java/amberhoist/cli/Cli.java
+++ b/proxy/src/main/java/amberhoist/cli/Cli.java
@@ -66,7 +66,7 @@
   /** Runs a command and exits with its status, unless the command keeps the process running. */
   static void run(String[] args) {
     int status = commandLine().execute(args);
-    if (status != ServeCommand.SERVES) {
+    if (status != ServeCommand.STILL_RUNNING) {
       System.exit(status);
     }
   }
--- a/proxy/src/main/java/amberhoist/cli/Main.java
+++ b/proxy/src/main/java/amberhoist/cli/Main.java
@@ -12,11 +12,11 @@
   /** Runs a subcommand; exits with 2 on a usage error, 1 on a failure, else 0. */
   public static void main(String[] args) {
     if (args.length == 1 && args[0].equals("serve")) {
-      Serving.serve(Sources.of(System.getenv()));
+      ServeRunner.serve(Sources.of(System.getenv()));
     } else if (args.length == 1 && args[0].equals("drill")) {
       System.exit(amberhoist.simulator.Main.run(args, System.in, System.out, System.err));
     } else if (args.length == 2 && args[0].equals("rehearse")) {
-      Rehearsal.main(args[1]);
+      TrainingRun.main(args[1]);
     } else {
       Cli.run(args);
     }
--- a/proxy/src/main/java/amberhoist/cli/ServeCommand.java
+++ b/proxy/src/main/java/amberhoist/cli/ServeCommand.java
@@ -8,14 +8,14 @@
 @Command(name = "serve", description = "Runs a proxy until SIGTERM. SIGHUP reloads the configuration.")
 final class ServeCommand implements Callable<Integer> {
   /** Returned in place of an exit status: the process keeps running. */
-  static final int SERVES = -1;
+  static final int STILL_RUNNING = -1;
 
   @Mixin
   private SourceOptions options;
 
   @Override
   public Integer call() {
-    Serving.serve(options.sources());
-    return SERVES;
+    ServeRunner.serve(options.sources());
+    return STILL_RUNNING;
   }
 }
--- a/proxy/src/main/java/amberhoist/cli/Serving.java
+++ b/proxy/src/main/java/amberhoist/cli/ServeRunner.java
@@ -16,8 +16,8 @@
  * handled when startup has ended: by then the proxy may already accept connections, so that it has to drain on SIGTERM
  * and must not miss a reload.
  */
-final class Serving {
-  private Serving() {}
+final class ServeRunner {
+  private ServeRunner() {}
 
   /** Starts a proxy that runs until the process is terminated; exits with status 1 if it cannot start. */
   static void serve(Sources sources) {
@@ -30,8 +30,8 @@
     }), "stop"));
     try {
       Setup setup = Setup.load(sources, new Clock());
-      EventLog.choose(setup.operator().log().format());
-      EventLog.redirect((int) setup.operator().log().queue().bytes(),
+      EventLog.selectBackend(setup.operator().log().format());
+      EventLog.redirectStandardError((int) setup.operator().log().queue().bytes(),
           new EventLog(setup.config().name(), setup.operator().logSettings()));
       started.complete(Optional.of(Service.start(setup)));
       return;
--- a/proxy/src/main/java/amberhoist/cli/StatusCommand.java
+++ b/proxy/src/main/java/amberhoist/cli/StatusCommand.java
@@ -48,7 +48,7 @@
     }
     String response;
     try {
-      response = AdminClient.ask(address, metrics ? "/metrics" : "/status");
+      response = AdminClient.get(address, metrics ? "/metrics" : "/status");
     } catch (IOException fault) {
       throw new IOException("no answer from " + text + ": " + fault.getMessage(), fault);
     }
--- a/proxy/src/main/java/amberhoist/cli/Rehearsal.java
+++ b/proxy/src/main/java/amberhoist/cli/TrainingRun.java
@@ -21,13 +21,13 @@
  * sharing). Without the archive, half of the startup time on a fraction of a core goes into loading classes, and during
  * a rolling restart clients wait for the proxy that starts.
  */
-final class Rehearsal {
-  private Rehearsal() {}
+final class TrainingRun {
+  private TrainingRun() {}
 
   /** Runs as a process, with the same log and signal handling as {@code serve}. */
   static void main(String file) {
-    EventLog.choose(LogSettings.DEFAULT.format());
-    EventLog.redirect(LogSettings.DEFAULT.queue(), new EventLog("training", LogSettings.DEFAULT));
+    EventLog.selectBackend(LogSettings.DEFAULT.format());
+    EventLog.redirectStandardError(LogSettings.DEFAULT.queueBytes(), new EventLog("training", LogSettings.DEFAULT));
     Signals.onHangup(() -> {});
     try {
       run(file);
@@ -58,7 +58,7 @@
       System.err.println("training run: " + responses.readLine());
     }
     for (String path : List.of("/v1/readyz", "/v1/metrics")) {
-      try (Socket operator = new Socket(InetAddress.getLoopbackAddress(), service.doorAddress().getPort())) {
+      try (Socket operator = new Socket(InetAddress.getLoopbackAddress(), service.managementAddress().getPort())) {
         operator.setSoTimeout(10_000);
         operator.getOutputStream().write(("GET " + path + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
         String response = new String(operator.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
--- a/proxy/src/main/java/amberhoist/config/Config.java
+++ b/proxy/src/main/java/amberhoist/config/Config.java
@@ -5,7 +5,7 @@
 import amberhoist.core.Limits;
 import amberhoist.decide.Balancer.Settings;
 import amberhoist.directory.Address;
-import amberhoist.directory.News;
+import amberhoist.directory.DirectoryUpdate;
 import amberhoist.simulator.SettingsReader;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -30,7 +30,7 @@
  * @param shared the folder that the processes of an upgrade share, null for none
  */
 public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-    int sockets, News known, Settings settings, Limits limits, InetSocketAddress mgmt,
+    int sockets, DirectoryUpdate known, Settings settings, Limits limits, InetSocketAddress mgmt,
     Path shared) {
   private static final int SOCKETS = 1024;
   private static final long DIAL = 250_000;
@@ -72,7 +72,7 @@
     String mgmt = environment.get("LB_MGMT");
     String seed = null;
     int sockets = SOCKETS;
-    News known = new News(0, true, List.of(), Map.of(), Set.of());
+    DirectoryUpdate known = new DirectoryUpdate(0, true, List.of(), Map.of(), Set.of());
     SettingsReader settings = null;
     require(in.nextToken() == JsonToken.START_OBJECT, "not an object");
     while (in.nextToken() == JsonToken.FIELD_NAME) {
@@ -96,7 +96,7 @@
             }
           }
         }
-        case "known" -> known = News.read(in, clock);
+        case "known" -> known = DirectoryUpdate.read(in, clock);
         case "settings" -> settings = SettingsReader.of(in);
         default -> in.skipChildren();
       }
@@ -107,7 +107,7 @@
     require(sockets > 0, "limits.sockets must be over 0");
     Settings read = settings.settings();
     long longest = 0;
-    for (int i = 0; i < read.classes().size(); i++) {
+    for (int i = 0; i < read.requestClasses().size(); i++) {
       longest = Math.max(longest, settings.whole("lanes." + i + ".give-up", LONGEST));
     }
     return new Config(name == null ? "" : name, Address.parse(listen), Address.parse(discovery),
--- a/proxy/src/main/java/amberhoist/config/Operator.java
+++ b/proxy/src/main/java/amberhoist/config/Operator.java
@@ -123,21 +123,22 @@
   /** What holds where nothing else is set. */
   public static final Operator DEFAULT = new Operator(
       new Instance("", "", "", "", ""),
-      new Log(LogSettings.DEFAULT.format(), LogSettings.DEFAULT.level(), LogSettings.DEFAULT.rate(),
-          LogSettings.DEFAULT.burst(), new Size(LogSettings.DEFAULT.queue())),
+      new Log(LogSettings.DEFAULT.format(), LogSettings.DEFAULT.level(), LogSettings.DEFAULT.linesPerSecond(),
+          LogSettings.DEFAULT.burst(), new Size(LogSettings.DEFAULT.queueBytes())),
       new Admin("", Duration.ofSeconds(5)),
       new Limits(1024),
-      new Answers(micros(Timing.DEFAULT.answerMargin()), micros(LineLimits.DEFAULT.crowdedAdvice())),
-      new Silence(micros(Timing.DEFAULT.silence()), micros(Timing.DEFAULT.quiet())),
-      new Stop(micros(Timing.DEFAULT.stopRouted()), micros(Timing.DEFAULT.stopHold()),
-          micros(Timing.DEFAULT.stopLongest()), micros(Timing.DEFAULT.stopAdvice())),
-      new Line(micros(LineLimits.DEFAULT.firstLine()), micros(LineLimits.DEFAULT.badLinger()),
-          LineLimits.DEFAULT.pings()),
-      new Sockets(micros(SocketLimits.DEFAULT.linger()), new Size(SocketLimits.DEFAULT.queue()),
-          new Size(SocketLimits.DEFAULT.discard()), micros(SocketLimits.DEFAULT.acceptPause()),
+      new Answers(micros(Timing.DEFAULT.answerMarginMicros()), micros(LineLimits.DEFAULT.shortageRetryAfterMicros())),
+      new Silence(micros(Timing.DEFAULT.silenceTimeoutMicros()), micros(Timing.DEFAULT.sharedSilenceTimeoutMicros())),
+      new Stop(micros(Timing.DEFAULT.stopAcceptMicros()), micros(Timing.DEFAULT.stopMoveDelayMicros()),
+          micros(Timing.DEFAULT.maxStopMicros()), micros(Timing.DEFAULT.stopRetryAfterMicros())),
+      new Line(micros(LineLimits.DEFAULT.firstLineTimeoutMicros()), micros(LineLimits.DEFAULT.malformedLingerMicros()),
+          LineLimits.DEFAULT.maxPings()),
+      new Sockets(micros(SocketLimits.DEFAULT.lingerMicros()), new Size(SocketLimits.DEFAULT.maxQueuedBytes()),
+          new Size(SocketLimits.DEFAULT.maxDiscardedBytes()), micros(SocketLimits.DEFAULT.acceptPauseMicros()),
           SocketLimits.DEFAULT.backlog()),
-      new Directory(micros(WatchTiming.DEFAULT.silence()), micros(WatchTiming.DEFAULT.firstAnswer()),
-          micros(WatchTiming.DEFAULT.pause()), micros(WatchTiming.DEFAULT.pauseMost())));
+      new Directory(micros(WatchTiming.DEFAULT.silenceTimeoutMicros()),
+      micros(WatchTiming.DEFAULT.firstLineTimeoutMicros()),
+          micros(WatchTiming.DEFAULT.initialPauseMicros()), micros(WatchTiming.DEFAULT.maxPauseMicros())));
 
   private static Duration micros(long micros) {
     return Duration.ofNanos(micros * 1000);
--- a/proxy/src/main/java/amberhoist/config/Reference.java
+++ b/proxy/src/main/java/amberhoist/config/Reference.java
@@ -86,7 +86,7 @@
         """);
     for (Event event : Event.values()) {
       out.append("| `").append(event.id()).append("` | ").append(event.level()).append(" | ")
-          .append(event.limited() ? "yes" : "").append(" | ").append(String.join(", ", event.fields()))
+          .append(event.isRateLimited() ? "yes" : "").append(" | ").append(String.join(", ", event.fields()))
           .append(" | ").append(event.meaning()).append(" |\n");
     }
     return out.toString();
--- a/proxy/src/main/java/amberhoist/core/Answers.java
+++ b/proxy/src/main/java/amberhoist/core/Answers.java
@@ -6,7 +6,7 @@
 import amberhoist.decide.Balancer.Outcome;
 import amberhoist.metrics.Counters;
 import amberhoist.metrics.Counters.Count;
-import amberhoist.metrics.Outcomes;
+import amberhoist.metrics.SetupOutcomes;
 
 /** Sends the final answers of invocations that are not served. Each gets one, which is counted only here. */
 final class Answers {
@@ -39,17 +39,17 @@
   void fail(long invocationId) {
     Invocation invocation = takePending(invocationId);
     if (invocation != null) {
-      counters.add(Count.ANSWERED_FAILURE);
-      telemetry.answered(invocationId, Answer.FAILURE, events.now() - invocation.arrived);
-      commands.fail(invocation.client);
-      countOutcome(invocation, Outcomes.Outcome.FAILED);
+      counters.increment(Count.ANSWERED_FAILURE);
+      telemetry.onAnswered(invocationId, Answer.FAILURE, events.now() - invocation.arrivedAt);
+      commands.fail(invocation.clientId);
+      countOutcome(invocation, SetupOutcomes.Outcome.FAILED);
     }
   }
 
   /** Removes and returns the invocation, which must be pending; null if there is none of this id. */
   private Invocation takePending(long invocationId) {
     Invocation invocation = invocations.remove(invocationId);
-    counters.invariant(invocation != null && invocation.phase == Phase.WAITING, "answered while not pending");
+    counters.checkInvariant(invocation != null && invocation.phase == Phase.PENDING, "answered while not pending");
     if (invocation != null) {
       invocation.cancelTimers();
     }
@@ -57,24 +57,24 @@
   }
 
   private void sendRejection(long invocationId, Invocation invocation, long retryAfter) {
-    counters.add(Count.ANSWERED_REJECTION);
-    telemetry.answered(invocationId, Answer.REJECTION, events.now() - invocation.arrived);
-    commands.reject(invocation.client, retryAfter);
-    countOutcome(invocation, Outcomes.Outcome.REFUSED);
+    counters.increment(Count.ANSWERED_REJECTION);
+    telemetry.onAnswered(invocationId, Answer.REJECTION, events.now() - invocation.arrivedAt);
+    commands.reject(invocation.clientId, retryAfter);
+    countOutcome(invocation, SetupOutcomes.Outcome.REFUSED);
   }
 
-  private void countOutcome(Invocation invocation, Outcomes.Outcome outcome) {
-    counters.outcomes().ended(invocation.type, outcome);
+  private void countOutcome(Invocation invocation, SetupOutcomes.Outcome outcome) {
+    counters.setupOutcomes().countEnded(invocation.type, outcome);
   }
 
   /** Rejects an invocation without a decision of the balancer: its deadline expired, or the proxy stops. */
-  void giveUp(long invocationId, Invocation invocation, long retryAfter) {
+  void rejectUndecided(long invocationId, Invocation invocation, long retryAfter) {
     sendRejection(invocationId, invocation, retryAfter);
     end(invocationId, invocation);
   }
 
   /** Ends an invocation without an answer: its client has disconnected, or was answered by its front. */
-  void depart(long invocationId, Invocation invocation, Outcomes.Outcome outcome) {
+  void endUnanswered(long invocationId, Invocation invocation, SetupOutcomes.Outcome outcome) {
     countOutcome(invocation, outcome);
     end(invocationId, invocation);
   }
@@ -82,15 +82,15 @@
   private void end(long invocationId, Invocation invocation) {
     invocation.cancelTimers();
     invocations.remove(invocationId);
-    if (invocation.balanced) {
-      balancer.departed(events.now(), invocationId);
+    if (invocation.knownToBalancer) {
+      balancer.onClientDisconnected(events.now(), invocationId);
     }
-    if (invocation.calling()) {
-      commands.abandon(invocation.provider);
-      counters.add(Count.CALL_ABANDONED);
-      if (invocation.balanced) {
-        balancer.ended(events.now(), invocationId, invocation.attempts - 1, Outcome.CANCELLED,
-            events.now() - invocation.callStart, true);
+    if (invocation.hasAttemptInFlight()) {
+      commands.abandon(invocation.connectionId);
+      counters.increment(Count.CALL_ABANDONED);
+      if (invocation.knownToBalancer) {
+        balancer.onAttemptEnded(events.now(), invocationId, invocation.attemptCount - 1, Outcome.CANCELLED,
+            events.now() - invocation.attemptStartedAt, true);
       }
     }
   }
--- a/proxy/src/main/java/amberhoist/core/Attempts.java
+++ b/proxy/src/main/java/amberhoist/core/Attempts.java
@@ -18,7 +18,7 @@
   }
 
   private final SlotTable<Invocation> invocations;
-  private final Wheel wheel;
+  private final TimerWheel wheel;
   private final EventQueue events;
   private final Commands commands;
   private final Counters counters;
@@ -26,7 +26,7 @@
   private final AttemptListener listener;
   private final LongPredicate isStillWanted;
 
-  Attempts(SlotTable<Invocation> invocations, Wheel wheel, EventQueue events, Commands commands,
+  Attempts(SlotTable<Invocation> invocations, TimerWheel wheel, EventQueue events, Commands commands,
       Counters counters, Telemetry telemetry, AttemptListener listener, LongPredicate isStillWanted) {
     this.invocations = invocations;
     this.wheel = wheel;
@@ -40,63 +40,63 @@
 
   /** Starts an attempt that times out at {@code deadline}; the provider must connect within the connect timeout. */
   void start(long invocationId, Invocation invocation, String provider, long deadline, long connectTimeoutMicros) {
-    counters.invariant(invocation.phase == Phase.WAITING && invocation.provider == SlotTable.NONE,
+    counters.checkInvariant(invocation.phase == Phase.PENDING && invocation.connectionId == SlotTable.NONE,
         "two attempts in flight");
-    counters.add(Count.CALLS);
+    counters.increment(Count.CALLS);
     long now = events.now();
     invocation.phase = Phase.CONNECTING;
-    invocation.attempts++;
-    invocation.called = provider;
-    invocation.callStart = now;
-    invocation.callEnd = Math.min(deadline, invocation.request.deadline());
-    invocation.provider = commands.dial(invocationId, invocation.client, provider);
-    if (invocation.provider == SlotTable.NONE) {
-      int attempt = invocation.attempts;
-      events.after(() -> {
-        if (invocations.get(invocationId) == invocation && invocation.attempts == attempt
+    invocation.attemptCount++;
+    invocation.providerName = provider;
+    invocation.attemptStartedAt = now;
+    invocation.attemptDeadline = Math.min(deadline, invocation.request.deadline());
+    invocation.connectionId = commands.connect(invocationId, invocation.clientId, provider);
+    if (invocation.connectionId == SlotTable.NONE) {
+      int attempt = invocation.attemptCount;
+      events.runLater(() -> {
+        if (invocations.get(invocationId) == invocation && invocation.attemptCount == attempt
             && invocation.phase == Phase.CONNECTING) {
           end(invocationId, invocation, Outcome.CONNECT_FAILED);
         }
       });
       return;
     }
-    long connectionId = invocation.provider;
-    invocation.callTimer = wheel.arm(invocation.callEnd,
-        at -> events.run(at, () -> ended(invocationId, connectionId, Outcome.TIMED_OUT)));
-    invocation.dialTimer = wheel.arm(Math.min(now + connectTimeoutMicros, invocation.callEnd),
-        at -> events.run(at, () -> ended(invocationId, connectionId, Outcome.CONNECT_FAILED)));
+    long connectionId = invocation.connectionId;
+    invocation.attemptTimer = wheel.arm(invocation.attemptDeadline,
+        at -> events.run(at, () -> onEnded(invocationId, connectionId, Outcome.TIMED_OUT)));
+    invocation.connectTimer = wheel.arm(Math.min(now + connectTimeoutMicros, invocation.attemptDeadline),
+        at -> events.run(at, () -> onEnded(invocationId, connectionId, Outcome.CONNECT_FAILED)));
   }
 
   /** Returns the invocation whose attempt is in flight on this connection, or null if that attempt has ended. */
-  Invocation out(long invocationId, long connectionId) {
+  Invocation findInFlight(long invocationId, long connectionId) {
     Invocation found = invocations.get(invocationId);
-    return found != null && found.provider == connectionId && found.calling() ? found : null;
+    return found != null && found.connectionId == connectionId && found.hasAttemptInFlight() ? found : null;
   }
 
   /** The provider is connected. The decision for it may be outdated by now, so the balancer is asked to confirm it. */
-  void connected(long invocationId, long connectionId) {
-    Invocation invocation = out(invocationId, connectionId);
+  void onConnected(long invocationId, long connectionId) {
+    Invocation invocation = findInFlight(invocationId, connectionId);
     if (invocation == null || invocation.phase != Phase.CONNECTING) {
       return;
     }
-    long remainingMicros = invocation.callEnd - events.now();
-    if (invocation.balanced && !isStillWanted.test(invocationId)) {
+    long remainingMicros = invocation.attemptDeadline - events.now();
+    if (invocation.knownToBalancer && !isStillWanted.test(invocationId)) {
       end(invocationId, invocation, Outcome.MOOT);
     } else if (remainingMicros >= 1000) {
       invocation.phase = Phase.SENT;
-      Invocation.cancel(invocation.dialTimer);
-      commands.forward(connectionId, remainingMicros / 1000);
+      Invocation.cancel(invocation.connectTimer);
+      commands.forwardOpenRequest(connectionId, remainingMicros / 1000);
     }
   }
 
-  void written(long invocationId, long connectionId) {
-    if (out(invocationId, connectionId) != null) {
-      counters.outcomes().attempted();
+  void onOpenRequestWritten(long invocationId, long connectionId) {
+    if (findInFlight(invocationId, connectionId) != null) {
+      counters.setupOutcomes().countAttempt();
     }
   }
 
-  void ended(long invocationId, long connectionId, Outcome outcome) {
-    Invocation invocation = out(invocationId, connectionId);
+  void onEnded(long invocationId, long connectionId, Outcome outcome) {
+    Invocation invocation = findInFlight(invocationId, connectionId);
     if (invocation != null) {
       end(invocationId, invocation, invocation.phase == Phase.SENT ? outcome : Outcome.CONNECT_FAILED);
     }
@@ -104,7 +104,7 @@
 
   /** Ends the attempt in flight, if any: as timed out if it may have run, otherwise as a failed connect. */
   void expire(long invocationId, Invocation invocation) {
-    if (invocation.calling()) {
+    if (invocation.hasAttemptInFlight()) {
       end(invocationId, invocation, invocation.phase == Phase.SENT ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED);
     }
   }
@@ -112,17 +112,19 @@
   /** Ends the attempt in flight and notifies the listener. */
   void end(long invocationId, Invocation invocation, Outcome outcome) {
     count(outcome);
-    telemetry.called(invocationId, invocation.called, outcome, events.now() - invocation.callStart);
-    boolean unwilling = invocation.provider == SlotTable.NONE || outcome == Outcome.ERROR || outcome == Outcome.FULL;
-    invocation.cancelCallTimers();
-    commands.abandon(invocation.provider); // before the next attempt, so that two are never in flight
-    invocation.provider = SlotTable.NONE;
-    invocation.phase = Phase.WAITING;
+    telemetry.onAttemptEnded(invocationId, invocation.providerName, outcome,
+        events.now() - invocation.attemptStartedAt);
+    boolean unwilling = invocation.connectionId == SlotTable.NONE || outcome == Outcome.ERROR
+        || outcome == Outcome.FULL;
+    invocation.cancelAttemptTimers();
+    commands.abandon(invocation.connectionId); // before the next attempt, so that two are never in flight
+    invocation.connectionId = SlotTable.NONE;
+    invocation.phase = Phase.PENDING;
     listener.onEnded(invocationId, invocation, outcome, unwilling);
   }
 
   private void count(Outcome outcome) {
-    counters.add(switch (outcome) {
+    counters.increment(switch (outcome) {
       case ERROR -> Count.CALL_ERROR;
       case FULL -> Count.CALL_BUSY;
       case TIMED_OUT -> Count.CALL_TIMED_OUT;
--- a/proxy/src/main/java/amberhoist/core/Commands.java
+++ b/proxy/src/main/java/amberhoist/core/Commands.java
@@ -6,16 +6,16 @@
  */
 public interface Commands {
   /** Starts an attempt: connects to a provider. Returns the connection's id, {@link SlotTable#NONE} if none started. */
-  long dial(long invocationId, long clientId, String provider);
+  long connect(long invocationId, long clientId, String provider);
 
   /** Forwards the open request to a connected provider, which has {@code waitMillis} to answer. */
-  void forward(long connectionId, long waitMillis);
+  void forwardOpenRequest(long connectionId, long waitMillis);
 
   /** Closes a provider connection, which ends the attempt on it. */
   void abandon(long connectionId);
 
   /** Relays lines in both directions between a client and a provider that has answered UP. */
-  void join(long clientId, long connectionId);
+  void relay(long clientId, long connectionId);
 
   /** Sends a client a rejection and closes; {@code retryAfter} in microseconds, 0 for none. */
   void reject(long clientId, long retryAfter);
@@ -27,10 +27,10 @@
   void move(long clientId);
 
   /** Makes sure that the directory is watched. */
-  void watch();
+  void watchDirectory();
 
-  /** Requests a provider's load report; {@link Core#report} takes it if one arrives. */
-  void ask(String provider);
+  /** Requests a provider's load report; {@link Core#onLoadReport} takes it if one arrives. */
+  void requestLoadReport(String provider);
 
   /** Writes a line to the operator's log. */
   void log(String message);
--- a/proxy/src/main/java/amberhoist/core/Core.java
+++ b/proxy/src/main/java/amberhoist/core/Core.java
@@ -3,14 +3,14 @@
 import amberhoist.core.Invocation.Phase;
 import amberhoist.core.Telemetry.Answer;
 import amberhoist.decide.Balancer;
-import amberhoist.decide.Balancer.ListKind;
+import amberhoist.decide.Balancer.ListUpdateKind;
 import amberhoist.decide.Balancer.Outcome;
 import amberhoist.decide.Balancer.Request;
 import amberhoist.decide.Balancer.Server;
 import amberhoist.decide.Balancer.Settings;
 import amberhoist.metrics.Counters;
 import amberhoist.metrics.Counters.Count;
-import amberhoist.metrics.Outcomes;
+import amberhoist.metrics.SetupOutcomes;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -27,25 +27,25 @@
   private static final double MICROS_PER_MILLI = 1000;
 
   private final Balancer balancer;
-  private final Wheel wheel;
+  private final TimerWheel wheel;
   private final Commands commands;
   private final Counters counters;
   private final Telemetry telemetry;
   private final EventQueue events = new EventQueue();
   private final Attempts attempts;
   private final Answers answers;
-  private final Handovers handoverRetries;
-  private final Overdue deadlineExpiry;
-  private final SilenceWatch silenceDetector;
-  private final Stopping gracefulStop;
+  private final HandoverRetries handoverRetries;
+  private final DeadlineExpiry deadlineExpiry;
+  private final SilenceDetector silenceDetector;
+  private final GracefulStop gracefulStop;
   private Limits limits;
   private Timing timing;
   private final SlotTable<Invocation> invocations = new SlotTable<>();
   private final Set<String> suspended = new HashSet<>(); // independent of the directory
-  private final LoadReadings.DelaySchedules delaySchedules = new LoadReadings.DelaySchedules();
+  private final LoadLineClassifier.DelaySchedules delaySchedules = new LoadLineClassifier.DelaySchedules();
 
   /** Creates a core for one balancer, which {@link #start} starts. */
-  public Core(Balancer balancer, Wheel wheel, Commands commands, Counters counters, Limits limits,
+  public Core(Balancer balancer, TimerWheel wheel, Commands commands, Counters counters, Limits limits,
       Timing timing, Telemetry telemetry) {
     this.balancer = balancer;
     this.wheel = wheel;
@@ -55,13 +55,14 @@
     this.timing = timing;
     this.telemetry = telemetry;
     attempts = new Attempts(invocations, wheel, events, commands, counters, telemetry, this::onAttemptEnded,
-        invocationId -> balancer.confirms(events.now(), invocationId));
+        invocationId -> balancer.shouldSend(events.now(), invocationId));
     answers = new Answers(invocations, events, commands, counters, telemetry, balancer);
-    deadlineExpiry = new Overdue(invocations, events, attempts, answers, balancer, counters);
-    handoverRetries = new Handovers(invocations, wheel, events, answers, attempts, () -> this.limits.dial());
-    silenceDetector = new SilenceWatch(invocations, wheel, events, timing, this::onSilent);
-    gracefulStop = new Stopping(invocations, wheel, events, this::move,
-        pending -> deadlineExpiry.close(pending, this.timing.stopAdvice()));
+    deadlineExpiry = new DeadlineExpiry(invocations, events, attempts, answers, balancer, counters);
+    handoverRetries = new HandoverRetries(invocations, wheel, events, answers, attempts,
+        () -> this.limits.connectTimeoutMicros());
+    silenceDetector = new SilenceDetector(invocations, wheel, events, timing, this::onSilent);
+    gracefulStop = new GracefulStop(invocations, wheel, events, this::move,
+        pending -> deadlineExpiry.onStop(pending, this.timing.stopRetryAfterMicros()));
   }
 
   private void runEvent(long time, Runnable event) {
@@ -72,7 +73,7 @@
   public void start(long time, Settings settings, long seed, List<Server> knownProviders) {
     runEvent(time, () -> {
       balancer.start(events.now(), settings, seed, this);
-      balancer.members(events.now(), ListKind.STALE, knownProviders);
+      balancer.onServerList(events.now(), ListUpdateKind.STALE, knownProviders);
     });
   }
 
@@ -87,92 +88,94 @@
   }
 
   /** The directory has sent an update. */
-  public void directory(long time, ListKind kind, List<Server> providers) {
-    runEvent(time, () -> balancer.members(events.now(), kind, providers));
+  public void onDirectoryUpdate(long time, ListUpdateKind kind, List<Server> providers) {
+    runEvent(time, () -> balancer.onServerList(events.now(), kind, providers));
   }
 
   /** A client requests a connection; returns the id of the invocation, which may already have been answered. */
-  public long invocation(long time, long clientId, Arrival request) {
-    Invocation invocation = new Invocation(clientId, time, request.type(), request.provider());
+  public long onInvocation(long time, long clientId, InvocationRequest request) {
+    Invocation invocation = new Invocation(clientId, time, request.type(), request.handoverProvider());
     long invocationId = invocations.add(invocation);
-    counters.outcomes().taken(invocation.type);
+    counters.setupOutcomes().countRequested(invocation.type);
     runEvent(time, () -> {
-      long wait = Math.max(0, request.waitMillis() * 1000 - timing.answerMargin());
-      long deadline = events.now() + (invocation.handover == null ? wait : Math.min(wait, Handovers.MOST));
+      long wait = Math.max(0, request.waitMillis() * 1000 - timing.answerMarginMicros());
+      long deadline = events.now() + (invocation.handoverProvider == null ? wait
+          : Math.min(wait, HandoverRetries.MAX_WAIT_MICROS));
       invocation.request = new Request(invocationId, request.type(), request.tenant(), request.key(), deadline,
-          request.hint(), request.group(), request.retry(), request.returning());
-      invocation.deadlineTimer = wheel.arm(deadline, at -> runEvent(at, () -> deadlineExpiry.deadline(invocationId)));
-      if (!limits.names(request)) {
+          request.loadHint(), request.group(), request.isRetry(), request.isReturning());
+      invocation.deadlineTimer = wheel.arm(deadline, at -> runEvent(at, () -> deadlineExpiry.onDeadline(invocationId)));
+      if (!limits.allows(request)) {
         // An invocation that no provider can serve would occupy a place at one and cost retry tokens.
-        counters.add(Count.MALFORMED);
+        counters.increment(Count.MALFORMED);
         fail(invocationId);
-      } else if (gracefulStop.refusing()) {
-        counters.add(Count.INVOCATIONS);
-        refuse(invocationId, timing.stopAdvice());
-      } else if (invocation.handover != null) {
-        counters.add(Count.HANDOVERS);
-        startAttempt(invocationId, invocation, invocation.handover, deadline);
+      } else if (gracefulStop.isRejecting()) {
+        counters.increment(Count.INVOCATIONS);
+        reject(invocationId, timing.stopRetryAfterMicros());
+      } else if (invocation.handoverProvider != null) {
+        counters.increment(Count.HANDOVERS);
+        startAttempt(invocationId, invocation, invocation.handoverProvider, deadline);
       } else {
-        counters.add(Count.INVOCATIONS);
-        invocation.balanced = true;
-        balancer.request(events.now(), invocation.request);
+        counters.increment(Count.INVOCATIONS);
+        invocation.knownToBalancer = true;
+        balancer.onRequest(events.now(), invocation.request);
       }
     });
     return invocationId;
   }
 
   private void startAttempt(long invocationId, Invocation invocation, String provider, long attemptDeadline) {
-    attempts.start(invocationId, invocation, provider, attemptDeadline, limits.dial());
+    attempts.start(invocationId, invocation, provider, attemptDeadline, limits.connectTimeoutMicros());
   }
 
   /** A provider connection is connected: the open request goes out on it if there is still time. */
-  public void connected(long time, long invocationId, long connectionId) {
-    runEvent(time, () -> attempts.connected(invocationId, connectionId));
+  public void onConnected(long time, long invocationId, long connectionId) {
+    runEvent(time, () -> attempts.onConnected(invocationId, connectionId));
   }
 
   /** The open request has been completely written to a provider connection. */
-  public void written(long time, long invocationId, long connectionId) {
-    runEvent(time, () -> attempts.written(invocationId, connectionId));
+  public void onOpenRequestWritten(long time, long invocationId, long connectionId) {
+    runEvent(time, () -> attempts.onOpenRequestWritten(invocationId, connectionId));
   }
 
   /** An attempt ended without UP; a connection that broke before the open request was sent counts as not made. */
-  public void callEnded(long time, long invocationId, long connectionId, Outcome outcome) {
-    runEvent(time, () -> attempts.ended(invocationId, connectionId, outcome));
+  public void onAttemptFailed(long time, long invocationId, long connectionId, Outcome outcome) {
+    runEvent(time, () -> attempts.onEnded(invocationId, connectionId, outcome));
   }
 
   /** Lets the balancer decide what follows an attempt without UP, except for a handover, which is retried. */
   private void onAttemptEnded(long invocationId, Invocation invocation, Outcome outcome, boolean unwilling) {
-    if (invocation.balanced) {
-      balancer.ended(events.now(), invocationId, invocation.attempts - 1, outcome,
-          events.now() - invocation.callStart, false);
+    if (invocation.knownToBalancer) {
+      balancer.onAttemptEnded(events.now(), invocationId, invocation.attemptCount - 1, outcome,
+          events.now() - invocation.attemptStartedAt, false);
     } else {
-      handoverRetries.again(invocationId, invocation, unwilling);
+      handoverRetries.retryOrFail(invocationId, invocation, unwilling);
     }
   }
 
   /** A provider has answered UP: lines are relayed from now on if the client is still connected. */
-  public void up(long time, long invocationId, long connectionId) {
+  public void onUp(long time, long invocationId, long connectionId) {
     runEvent(time, () -> {
-      Invocation invocation = attempts.out(invocationId, connectionId);
+      Invocation invocation = attempts.findInFlight(invocationId, connectionId);
       if (invocation == null) {
         return;
       }
-      counters.add(Count.CALL_UP);
-      counters.add(Count.ANSWERED_UP);
-      counters.outcomes().ended(invocation.type, Outcomes.Outcome.SERVED);
-      telemetry.called(invocationId, invocation.called, null, events.now() - invocation.callStart);
-      telemetry.answered(invocationId, Answer.UP, events.now() - invocation.arrived);
+      counters.increment(Count.CALL_UP);
+      counters.increment(Count.ANSWERED_UP);
+      counters.setupOutcomes().countEnded(invocation.type, SetupOutcomes.Outcome.SERVED);
+      telemetry.onAttemptEnded(invocationId, invocation.providerName, null, events.now() - invocation.attemptStartedAt);
+      telemetry.onAnswered(invocationId, Answer.UP, events.now() - invocation.arrivedAt);
       invocation.cancelTimers();
-      invocation.phase = Phase.UP;
-      invocation.told = delaySchedules.told(invocation.called);
-      silenceDetector.joined(invocationId, invocation);
-      commands.join(invocation.client, connectionId);
-      if (invocation.balanced) {
-        balancer.opened(events.now(), invocationId, invocation.attempts - 1, events.now() - invocation.callStart);
+      invocation.phase = Phase.ESTABLISHED;
+      invocation.loadClassifier = delaySchedules.newClassifier(invocation.providerName);
+      silenceDetector.onEstablished(invocationId, invocation);
+      commands.relay(invocation.clientId, connectionId);
+      if (invocation.knownToBalancer) {
+        balancer.onEstablished(events.now(), invocationId, invocation.attemptCount - 1,
+            events.now() - invocation.attemptStartedAt);
       } else {
-        invocation.balanced = true;
-        invocation.attempts = 1;
-        balancer.handover(events.now(), invocation.request, invocation.handover);
+        invocation.knownToBalancer = true;
+        invocation.attemptCount = 1;
+        balancer.onHandover(events.now(), invocation.request, invocation.handoverProvider);
       }
     });
   }
@@ -180,51 +183,51 @@
   /** The invocation established on this provider connection, or null. */
   private Invocation findEstablished(long invocationId, long connectionId) {
     Invocation found = invocations.get(invocationId);
-    return found != null && found.provider == connectionId && found.phase == Phase.UP ? found : null;
+    return found != null && found.connectionId == connectionId && found.phase == Phase.ESTABLISHED ? found : null;
   }
 
-  /** The provider of an established connection has sent a LOAD line; see {@link LoadReadings}. */
-  public void load(long time, long invocationId, long connectionId, double value) {
+  /** The provider of an established connection has sent a LOAD line; see {@link LoadLineClassifier}. */
+  public void onLoadLine(long time, long invocationId, long connectionId, double value) {
     runEvent(time, () -> {
       Invocation invocation = findEstablished(invocationId, connectionId);
       if (invocation == null) {
         return;
       }
-      double previousLoad = invocation.told.load();
-      boolean isDelay = invocation.told.delay(events.now(), value);
-      if (!isDelay || invocation.told.load() != previousLoad) {
-        balancer.load(events.now(), invocationId, invocation.attempts - 1, invocation.told.load());
+      double previousLoad = invocation.loadClassifier.load();
+      boolean isDelay = invocation.loadClassifier.recordAndTestDelay(events.now(), value);
+      if (!isDelay || invocation.loadClassifier.load() != previousLoad) {
+        balancer.onLoad(events.now(), invocationId, invocation.attemptCount - 1, invocation.loadClassifier.load());
       }
       if (isDelay) {
-        counters.add(Count.DELAYS);
-        balancer.delay(events.now(), invocationId, invocation.attempts - 1, value * MICROS_PER_MILLI);
+        counters.increment(Count.DELAYS);
+        balancer.onQueueingDelay(events.now(), invocationId, invocation.attemptCount - 1, value * MICROS_PER_MILLI);
       }
     });
   }
 
   /** A line of the client has been relayed to its provider. */
-  public void asked(long time, long invocationId, long connectionId) {
-    silenceDetector.asked(time, invocationId, findEstablished(invocationId, connectionId));
+  public void onClientLine(long time, long invocationId, long connectionId) {
+    silenceDetector.onClientLine(time, invocationId, findEstablished(invocationId, connectionId));
   }
 
   /** A line of the provider other than LOAD has been received. */
-  public void returned(long time, long invocationId, long connectionId) {
-    silenceDetector.returned(time, invocationId, findEstablished(invocationId, connectionId));
+  public void onProviderLine(long time, long invocationId, long connectionId) {
+    silenceDetector.onProviderLine(time, invocationId, findEstablished(invocationId, connectionId));
   }
 
   private void onSilent(Invocation invocation, long invocationId) {
-    counters.add(Count.SILENT);
-    telemetry.silent(invocationId, invocation.called);
-    commands.move(invocation.client);
+    counters.increment(Count.SILENT);
+    telemetry.onSilentProvider(invocationId, invocation.providerName);
+    commands.move(invocation.clientId);
     end(invocationId, invocation, Outcome.RESET);
   }
 
   /** An established connection has ended or its provider announced its end; the sockets are being closed. */
-  public void ended(long time, long invocationId, long connectionId, Outcome outcome) {
+  public void onConnectionEnded(long time, long invocationId, long connectionId, Outcome outcome) {
     runEvent(time, () -> {
       Invocation invocation = findEstablished(invocationId, connectionId);
       if (invocation != null) {
-        counters.add(switch (outcome) {
+        counters.increment(switch (outcome) {
           case SERVED -> Count.ENDED_SERVED;
           case RESET -> Count.ENDED_RESET;
           default -> Count.ENDED_MOVED_AWAY;
@@ -236,48 +239,48 @@
 
   private void end(long invocationId, Invocation invocation, Outcome outcome) {
     invocation.cancelTimers();
-    silenceDetector.ended(invocationId, invocation);
+    silenceDetector.onEnded(invocationId, invocation);
     invocations.remove(invocationId);
-    balancer.ended(events.now(), invocationId, invocation.attempts - 1, outcome,
-        events.now() - invocation.callStart, true);
+    balancer.onAttemptEnded(events.now(), invocationId, invocation.attemptCount - 1, outcome,
+        events.now() - invocation.attemptStartedAt, true);
   }
 
   /** The client has disconnected, before its final answer or after it. */
-  public void clientLeft(long time, long invocationId) {
-    endByClient(time, invocationId, Outcomes.Outcome.REFUSED);
+  public void onClientDisconnected(long time, long invocationId) {
+    endByClient(time, invocationId, SetupOutcomes.Outcome.REFUSED);
   }
 
   /** The front has answered the client that its invocation failed, and closes the connection. */
-  public void clientFailed(long time, long invocationId) {
-    endByClient(time, invocationId, Outcomes.Outcome.FAILED);
+  public void onClientFailed(long time, long invocationId) {
+    endByClient(time, invocationId, SetupOutcomes.Outcome.FAILED);
   }
 
-  private void endByClient(long time, long invocationId, Outcomes.Outcome unansweredOutcome) {
+  private void endByClient(long time, long invocationId, SetupOutcomes.Outcome unansweredOutcome) {
     runEvent(time, () -> {
       Invocation invocation = invocations.get(invocationId);
       if (invocation == null) {
         return;
       }
-      counters.add(Count.CLIENT_LEFT);
-      if (invocation.phase == Phase.UP) {
+      counters.increment(Count.CLIENT_LEFT);
+      if (invocation.phase == Phase.ESTABLISHED) {
         end(invocationId, invocation, Outcome.CANCELLED);
       } else {
-        answers.depart(invocationId, invocation, unansweredOutcome);
+        answers.endUnanswered(invocationId, invocation, unansweredOutcome);
       }
     });
   }
 
   @Override
-  public void send(long request, String server, long timeout) {
+  public void startAttempt(long request, String server, long timeout) {
     Invocation invocation = invocations.get(request);
-    counters.invariant(invocation != null, "attempt for an unknown invocation");
+    counters.checkInvariant(invocation != null, "attempt for an unknown invocation");
     if (invocation != null) {
       startAttempt(request, invocation, server, events.now() + timeout);
     }
   }
 
   @Override
-  public void refuse(long request, long retryAfter) {
+  public void reject(long request, long retryAfter) {
     answers.reject(request, retryAfter);
   }
 
@@ -289,10 +292,10 @@
   @Override
   public void move(long request) {
     Invocation invocation = invocations.get(request);
-    if (invocation != null && invocation.phase == Phase.UP) {
-      counters.add(Count.MOVED);
-      commands.move(invocation.client);
-      events.after(() -> {
+    if (invocation != null && invocation.phase == Phase.ESTABLISHED) {
+      counters.increment(Count.MOVED);
+      commands.move(invocation.clientId);
+      events.runLater(() -> {
         if (invocations.get(request) == invocation) {
           end(request, invocation, Outcome.CANCELLED);
         }
@@ -302,26 +305,26 @@
 
   @Override
   public void subscribe() {
-    commands.watch();
+    commands.watchDirectory();
   }
 
   @Override
-  public void ask(String server) {
-    counters.add(Count.REPORTS_ASKED);
-    commands.ask(server);
+  public void requestLoadReport(String server) {
+    counters.increment(Count.REPORTS_ASKED);
+    commands.requestLoadReport(server);
   }
 
   /** A provider has sent its load report: its utilization, demand over capacity, at least 0. */
-  public void report(long time, String provider, double utilization) {
+  public void onLoadReport(long time, String provider, double utilization) {
     runEvent(time, () -> {
-      counters.add(Count.REPORTS);
-      balancer.report(events.now(), provider, utilization);
+      counters.increment(Count.REPORTS);
+      balancer.onLoadReport(events.now(), provider, utilization);
     });
   }
 
   @Override
-  public void timer(long at, long token) {
-    wheel.arm(at, time -> runEvent(time, () -> balancer.timer(events.now(), token)));
+  public void scheduleTimer(long at, long token) {
+    wheel.arm(at, time -> runEvent(time, () -> balancer.onTimer(events.now(), token)));
   }
 
   @Override
@@ -330,30 +333,30 @@
   }
 
   /**
-   * Begins a graceful stop ({@link Stopping}); {@code succeeded} if another process already serves in place of
+   * Begins a graceful stop ({@link GracefulStop}); {@code succeeded} if another process already serves in place of
    * this one. Runs {@code done} when no invocation is pending, in flight or established any more.
    */
   public void stop(long time, boolean succeeded, Runnable done) {
-    runEvent(time, () -> gracefulStop.begin(time, limits.longest(), timing, succeeded, done));
+    runEvent(time, () -> gracefulStop.begin(time, limits.maxClientWaitMicros(), timing, succeeded, done));
   }
 
   /** Calls the action with the client key and the provider name of each established connection. */
-  public void forEachStanding(BiConsumer<String, String> action) {
+  public void forEachEstablished(BiConsumer<String, String> action) {
     invocations.forEach(invocationId -> {
       Invocation invocation = invocations.get(invocationId);
-      if (invocation.phase == Phase.UP) {
-        action.accept(invocation.request.client(), invocation.called);
+      if (invocation.phase == Phase.ESTABLISHED) {
+        action.accept(invocation.request.clientKey(), invocation.providerName);
       }
     });
   }
 
   /** Maps keys of clients to the providers they had through another process, which now sends the clients here. */
-  public void bind(long time, Map<String, String> providersByClient) {
-    runEvent(time, () -> balancer.bind(events.now(), providersByClient));
+  public void bindClients(long time, Map<String, String> providersByClient) {
+    runEvent(time, () -> balancer.restoreAffinity(events.now(), providersByClient));
   }
 
   /** Suspends exactly these providers, whatever the directory says, and resumes all others. */
-  public void suspend(long time, Set<String> providers) {
+  public void setSuspended(long time, Set<String> providers) {
     runEvent(time, () -> {
       Set.copyOf(suspended).stream().filter(name -> !providers.contains(name)).forEach(name -> {
         suspended.remove(name);
@@ -369,12 +372,12 @@
   }
 
   /** Whether the balancer currently excludes this provider from new requests. */
-  public boolean avoids(long time, String provider) {
-    return balancer.avoids(Math.max(time, events.now()), provider);
+  public boolean isExcluded(long time, String provider) {
+    return balancer.isExcluded(Math.max(time, events.now()), provider);
   }
 
   /** The number of invocations that are pending, in flight or established. */
-  public int size() {
+  public int invocationCount() {
     return invocations.size();
   }
 }
--- a/proxy/src/main/java/amberhoist/core/Overdue.java
+++ b/proxy/src/main/java/amberhoist/core/DeadlineExpiry.java
@@ -9,7 +9,7 @@
  * Answers invocations at the last moment: at their deadline, or when the proxy stops. An attempt in flight is ended
  * first, by whether it may have run, so that the balancer's answer promises only what is known.
  */
-final class Overdue {
+final class DeadlineExpiry {
   private final SlotTable<Invocation> invocations;
   private final EventQueue events;
   private final Attempts attempts;
@@ -17,7 +17,7 @@
   private final Balancer balancer;
   private final Counters counters;
 
-  Overdue(SlotTable<Invocation> invocations, EventQueue events, Attempts attempts, Answers answers,
+  DeadlineExpiry(SlotTable<Invocation> invocations, EventQueue events, Attempts attempts, Answers answers,
       Balancer balancer, Counters counters) {
     this.invocations = invocations;
     this.events = events;
@@ -28,28 +28,28 @@
   }
 
   /** The deadline of an invocation expired. The balancer should have answered earlier; if not, rejects here. */
-  void deadline(long invocationId) {
+  void onDeadline(long invocationId) {
     Invocation invocation = invocations.get(invocationId);
-    if (invocation != null && invocation.balanced) {
+    if (invocation != null && invocation.knownToBalancer) {
       attempts.expire(invocationId, invocation);
     }
     invocation = invocations.get(invocationId);
-    if (invocation != null && invocation.phase != Phase.UP) {
-      counters.invariant(!invocation.balanced, "no answer by the deadline");
-      answers.giveUp(invocationId, invocation, 0);
+    if (invocation != null && invocation.phase != Phase.ESTABLISHED) {
+      counters.checkInvariant(!invocation.knownToBalancer, "no answer by the deadline");
+      answers.rejectUndecided(invocationId, invocation, 0);
     }
   }
 
   /** The proxy stops: lets the balancer answer its requests, then rejects the invocations still unanswered. */
-  void close(List<Long> unanswered, long retryAfter) {
-    balancer.close(events.now());
+  void onStop(List<Long> unanswered, long retryAfter) {
+    balancer.stopAttempts(events.now());
     for (long invocationId : unanswered) {
       Invocation invocation = invocations.get(invocationId);
-      if (invocation != null && invocation.balanced) {
+      if (invocation != null && invocation.knownToBalancer) {
         attempts.expire(invocationId, invocation);
       }
       if (invocation != null && invocations.get(invocationId) == invocation) {
-        answers.giveUp(invocationId, invocation, retryAfter);
+        answers.rejectUndecided(invocationId, invocation, retryAfter);
       }
     }
   }
--- a/proxy/src/main/java/amberhoist/core/EventQueue.java
+++ b/proxy/src/main/java/amberhoist/core/EventQueue.java
@@ -26,7 +26,7 @@
   }
 
   /** Queues an event to run after the current one. */
-  void after(Runnable event) {
+  void runLater(Runnable event) {
     events.add(event);
   }
 
--- a/proxy/src/main/java/amberhoist/core/Stopping.java
+++ b/proxy/src/main/java/amberhoist/core/GracefulStop.java
@@ -13,14 +13,14 @@
  * off than one that stays. If another process already serves in place of this one, they begin at once and take all the
  * time there is.
  */
-final class Stopping {
+final class GracefulStop {
   private static final long MOVE_INTERVAL_MICROS = 20_000;
   private static final long MIN_STOP_MICROS = 1_000_000; // so that late arrivals still get an answer
   private static final double MAX_MOVE_DELAY_FRACTION = 0.55; // of the duration of a short stop
   private static final long LAST_MOVES_MICROS = 150_000; // out of the 0.7 s until the process is killed
 
   private final SlotTable<Invocation> invocations;
-  private final Wheel wheel;
+  private final TimerWheel wheel;
   private final EventQueue events;
   private final LongConsumer move;
   private final Consumer<List<Long>> close;
@@ -29,7 +29,7 @@
   private double dueMoves; // the fraction of a move carried over to the next step
 
   /** Creates a stop that moves invocations by {@code move} and passes those unanswered at its end to {@code close}. */
-  Stopping(SlotTable<Invocation> invocations, Wheel wheel, EventQueue events, LongConsumer move,
+  GracefulStop(SlotTable<Invocation> invocations, TimerWheel wheel, EventQueue events, LongConsumer move,
       Consumer<List<Long>> close) {
     this.invocations = invocations;
     this.wheel = wheel;
@@ -39,7 +39,7 @@
   }
 
   /** Whether new invocations are rejected. */
-  boolean refusing() {
+  boolean isRejecting() {
     return rejecting;
   }
 
@@ -49,12 +49,12 @@
       return;
     }
     onStopped = done;
-    long duration = Math.min(maxClientWaitMicros, timing.stopLongest());
+    long duration = Math.min(maxClientWaitMicros, timing.maxStopMicros());
     long moveDelay = succeeded ? 0
-        : Math.max(timing.stopRouted(),
-            Math.min(timing.stopHold(), (long) (MAX_MOVE_DELAY_FRACTION * duration)));
+        : Math.max(timing.stopAcceptMicros(),
+            Math.min(timing.stopMoveDelayMicros(), (long) (MAX_MOVE_DELAY_FRACTION * duration)));
     long end = time + duration + LAST_MOVES_MICROS;
-    wheel.arm(time + timing.stopRouted(), at -> events.run(at, () -> rejecting = true));
+    wheel.arm(time + timing.stopAcceptMicros(), at -> events.run(at, () -> rejecting = true));
     wheel.arm(time + moveDelay, at -> step(at, Math.min(end, time + MIN_STOP_MICROS), end));
   }
 
@@ -62,7 +62,7 @@
     events.run(time, () -> {
       List<Long> established = new ArrayList<>();
       List<Long> unanswered = new ArrayList<>();
-      invocations.forEach(id -> (invocations.get(id).phase == Phase.UP ? established : unanswered).add(id));
+      invocations.forEach(id -> (invocations.get(id).phase == Phase.ESTABLISHED ? established : unanswered).add(id));
       boolean isLast = events.now() + MOVE_INTERVAL_MICROS >= end;
       long steps = Math.max(1, (end - events.now()) / MOVE_INTERVAL_MICROS);
       dueMoves += (double) established.size() / steps;
--- a/proxy/src/main/java/amberhoist/core/Invocation.java
+++ b/proxy/src/main/java/amberhoist/core/Invocation.java
@@ -1,6 +1,6 @@
 package amberhoist.core;
 
-import amberhoist.core.Wheel.Timer;
+import amberhoist.core.TimerWheel.Timer;
 import amberhoist.decide.Balancer.Request;
 
 /** One client's invocation, from its open request to the end of its connection. Times are in microseconds. */
@@ -8,54 +8,54 @@
   /** The stage that the invocation has reached. */
   enum Phase {
     /** No attempt is in flight: the balancer decides, or a handover waits for its next attempt. */
-    WAITING,
+    PENDING,
     /** An attempt is in flight whose provider has not connected yet: it cannot have run. */
     CONNECTING,
     /** The open request was handed to a connected provider connection: from here on the attempt may have run. */
     SENT,
     /** Lines are relayed between client and provider. */
-    UP
+    ESTABLISHED
   }
 
-  final long client;
-  LoadReadings told; // null until established
-  final long arrived;
+  final long clientId;
+  LoadLineClassifier loadClassifier; // null until established
+  final long arrivedAt;
   final String type;
-  final String handover; // the provider that has the connection already; null for a new connection
+  final String handoverProvider; // the provider that has the connection already; null for a new connection
   Request request;
-  Phase phase = Phase.WAITING;
-  boolean balanced; // whether the balancer has been given the request
-  long provider = SlotTable.NONE;
-  int attempts;
-  String called; // the provider of the latest attempt
-  long callStart;
-  long callEnd;
-  Pulse pulse; // of the provider; null until established
-  long unanswered; // when the first client line was relayed that no provider line has followed, 0 for none
-  Timer dialTimer;
-  Timer callTimer;
+  Phase phase = Phase.PENDING;
+  boolean knownToBalancer; // whether the balancer has been given the request
+  long connectionId = SlotTable.NONE;
+  int attemptCount;
+  String providerName; // the provider of the latest attempt
+  long attemptStartedAt;
+  long attemptDeadline;
+  ProviderLiveness liveness; // of the provider; null until established
+  long unansweredSince; // when the first client line was relayed that no provider line has followed, 0 for none
+  Timer connectTimer;
+  Timer attemptTimer;
   Timer deadlineTimer;
   Timer silenceTimer;
 
-  Invocation(long client, long arrived, String type, String handover) {
-    this.client = client;
-    this.arrived = arrived;
+  Invocation(long clientId, long arrivedAt, String type, String handoverProvider) {
+    this.clientId = clientId;
+    this.arrivedAt = arrivedAt;
     this.type = type;
-    this.handover = handover;
+    this.handoverProvider = handoverProvider;
   }
 
   /** Whether an attempt is in flight. */
-  boolean calling() {
+  boolean hasAttemptInFlight() {
     return phase == Phase.CONNECTING || phase == Phase.SENT;
   }
 
-  void cancelCallTimers() {
-    cancel(dialTimer);
-    cancel(callTimer);
+  void cancelAttemptTimers() {
+    cancel(connectTimer);
+    cancel(attemptTimer);
   }
 
   void cancelTimers() {
-    cancelCallTimers();
+    cancelAttemptTimers();
     cancel(deadlineTimer);
     cancel(silenceTimer);
   }
--- a/proxy/src/main/java/amberhoist/core/LoadReadings.java
+++ b/proxy/src/main/java/amberhoist/core/LoadLineClassifier.java
@@ -12,14 +12,14 @@
  * second reveals the run, and the load is reset to what it was before. A provider keeps its period from run to run and
  * across connections, so once its {@link DelaySchedule} is known, a first line on schedule counts as a delay.
  */
-final class LoadReadings {
-  static final long PERIOD = 1_000_000;
-  static final long PERIOD_SLACK = 15_000;
+final class LoadLineClassifier {
+  static final long PERIOD_MICROS = 1_000_000;
+  static final long PERIOD_TOLERANCE_MICROS = 15_000;
   private static final double PERIOD_MILLIS = 1000;
   private static final double HANG_STEP_TOLERANCE_MILLIS = 5;
   private static final double MAX_DELAY_MILLIS = 3000; // without a hang; most loads are larger numbers
   private static final long FIRST_LINE_TOLERANCE_MICROS = 5_000; // 1 in 100 loads arrives this close by chance
-  private static final long RESUME_TIMEOUT_MICROS = 3 * PERIOD; // for a run to go on over another connection
+  private static final long RESUME_TIMEOUT_MICROS = 3 * PERIOD_MICROS; // for a run to go on over another connection
   private static final double MIN_DROP_RATIO = 30; // from load to value: in 1 load line of 200, but most first delays
   private static final int KEPT_LINES = 4; // a load or two may come between two delays
 
@@ -33,9 +33,9 @@
      */
     private boolean matches(long now, double value) {
       long elapsed = now - lastDelayAt;
-      long offset = Math.abs(Math.floorMod(elapsed + PERIOD / 2, PERIOD) - PERIOD / 2);
-      return lastDelayAt != 0 && value <= MAX_DELAY_MILLIS && elapsed > PERIOD / 2
-          && offset <= (elapsed <= RESUME_TIMEOUT_MICROS ? PERIOD_SLACK : FIRST_LINE_TOLERANCE_MICROS);
+      long offset = Math.abs(Math.floorMod(elapsed + PERIOD_MICROS / 2, PERIOD_MICROS) - PERIOD_MICROS / 2);
+      return lastDelayAt != 0 && value <= MAX_DELAY_MILLIS && elapsed > PERIOD_MICROS / 2
+          && offset <= (elapsed <= RESUME_TIMEOUT_MICROS ? PERIOD_TOLERANCE_MICROS : FIRST_LINE_TOLERANCE_MICROS);
     }
   }
 
@@ -51,8 +51,8 @@
     };
 
     /** Creates a classifier for a new connection to this provider. */
-    LoadReadings told(String provider) {
-      return new LoadReadings(schedules.computeIfAbsent(provider, name -> new DelaySchedule()));
+    LoadLineClassifier newClassifier(String provider) {
+      return new LoadLineClassifier(schedules.computeIfAbsent(provider, name -> new DelaySchedule()));
     }
   }
 
@@ -63,16 +63,16 @@
   private int next;
   private double settledLoad; // the load before the lines that are kept
 
-  LoadReadings(DelaySchedule schedule) {
+  LoadLineClassifier(DelaySchedule schedule) {
     this.schedule = schedule;
   }
 
   /** Records the value of a LOAD line; returns true if it is a delay in milliseconds, false if it is a load. */
-  boolean delay(long now, double value) {
+  boolean recordAndTestDelay(long now, double value) {
     boolean isDrop = value <= PERIOD_MILLIS && load() >= MIN_DROP_RATIO * value && !schedule.matches(now, value);
     boolean isDelay = isDrop || schedule.matches(now, value);
     for (int i = 0; i < KEPT_LINES; i++) {
-      boolean onPeriod = arrivedAt[i] != 0 && Math.abs(now - arrivedAt[i] - PERIOD) <= PERIOD_SLACK;
+      boolean onPeriod = arrivedAt[i] != 0 && Math.abs(now - arrivedAt[i] - PERIOD_MICROS) <= PERIOD_TOLERANCE_MICROS;
       if (onPeriod && (delays[i] || isSuccessor(values[i], value))) {
         delays[i] = true; // the line one period ago was a delay, too
         isDelay = true;
--- a/proxy/src/main/java/amberhoist/core/Pulse.java
+++ b/proxy/src/main/java/amberhoist/core/ProviderLiveness.java
@@ -9,28 +9,28 @@
  * Tracks whether one provider still returns lines, over all its established connections. When a whole machine has
  * vanished or hung, this shows sooner on all connections together than on each by itself.
  */
-final class Pulse {
+final class ProviderLiveness {
   private static final int MIN_SILENT_CONNECTIONS = 2;
 
   private final Set<Long> establishedIds = new LinkedHashSet<>();
   private final Set<Long> unansweredIds = new LinkedHashSet<>();
   private long lastLineAt;
 
-  void join(long invocationId, long now) {
+  void addConnection(long invocationId, long now) {
     establishedIds.add(invocationId);
     lastLineAt = now;
   }
 
-  void asked(long invocationId) {
+  void onClientLine(long invocationId) {
     unansweredIds.add(invocationId);
   }
 
-  void returned(long invocationId, long now) {
+  void onProviderLine(long invocationId, long now) {
     unansweredIds.remove(invocationId);
     lastLineAt = now;
   }
 
-  void end(long invocationId) {
+  void removeConnection(long invocationId) {
     establishedIds.remove(invocationId);
     unansweredIds.remove(invocationId);
   }
@@ -39,16 +39,16 @@
    * Whether several connections wait for a line and none has had one within the timeout. A healthy provider returns
    * lines within 50 ms at any load; ten times that on several connections is conclusive even after a stall here.
    */
-  boolean silent(long now, long timeoutMicros) {
+  boolean isSilent(long now, long timeoutMicros) {
     return unansweredIds.size() >= MIN_SILENT_CONNECTIONS && now - lastLineAt >= timeoutMicros;
   }
 
   /** A copy of the ids of the invocations established with the provider. */
-  List<Long> joined() {
+  List<Long> invocationIds() {
     return new ArrayList<>(establishedIds);
   }
 
-  boolean idle() {
+  boolean isEmpty() {
     return establishedIds.isEmpty();
   }
 }
--- a/proxy/src/main/java/amberhoist/core/Telemetry.java
+++ b/proxy/src/main/java/amberhoist/core/Telemetry.java
@@ -14,21 +14,21 @@
   /** Discards all events. */
   Telemetry NONE = new Telemetry() {
     @Override
-    public void called(long invocationId, String provider, Outcome outcome, long micros) {}
+    public void onAttemptEnded(long invocationId, String provider, Outcome outcome, long micros) {}
 
     @Override
-    public void answered(long invocationId, Answer answer, long micros) {}
+    public void onAnswered(long invocationId, Answer answer, long micros) {}
 
     @Override
-    public void silent(long invocationId, String provider) {}
+    public void onSilentProvider(long invocationId, String provider) {}
   };
 
   /** An attempt ended after {@code micros}; {@code outcome} is null if the provider answered UP. */
-  void called(long invocationId, String provider, Outcome outcome, long micros);
+  void onAttemptEnded(long invocationId, String provider, Outcome outcome, long micros);
 
   /** An invocation got its final answer {@code micros} after it arrived. */
-  void answered(long invocationId, Answer answer, long micros);
+  void onAnswered(long invocationId, Answer answer, long micros);
 
   /** A provider is silent; this invocation, established with it, is moved. */
-  void silent(long invocationId, String provider);
+  void onSilentProvider(long invocationId, String provider);
 }
--- a/proxy/src/main/java/amberhoist/core/Wheel.java
+++ b/proxy/src/main/java/amberhoist/core/TimerWheel.java
@@ -4,7 +4,7 @@
  * A timer wheel with coarse ticks. A timer fires in the first advance at or past its time, rounded up to a whole tick:
  * up to one tick late and never early. Reads no clock: {@link #advance} brings the time, in microseconds.
  */
-public final class Wheel {
+public final class TimerWheel {
   /** The action of a timer. */
   @FunctionalInterface
   public interface Task {
@@ -47,7 +47,7 @@
   private long currentTick;
 
   /** Creates a wheel with ticks of this length, at this time of the clock. */
-  public Wheel(long tickMicros, long now) {
+  public TimerWheel(long tickMicros, long now) {
     this.tickMicros = tickMicros;
     completedTick = now / tickMicros;
     currentTick = completedTick;
--- a/proxy/src/main/java/amberhoist/decide/Balancer.java
+++ b/proxy/src/main/java/amberhoist/decide/Balancer.java
@@ -28,28 +28,28 @@
      * not been established within {@code timeoutMicros}, or by the deadline if that is earlier, must be reported as
      * {@link Outcome#TIMED_OUT}.
      */
-    void send(long requestId, String serverName, long timeoutMicros);
+    void startAttempt(long requestId, String serverName, long timeoutMicros);
 
     /**
      * Final answer: the request is rejected, and retrying it is safe. A {@code retryAfterMicros} of 0 means that no
      * retry-after is given.
      */
-    void refuse(long requestId, long retryAfterMicros);
+    void reject(long requestId, long retryAfterMicros);
 
     /** Final answer: the request failed. Whether it ran on a server is unknown. */
     void fail(long requestId);
 
-    /** Ends an open connection gracefully so that its client reconnects. {@link #ended} still follows. */
+    /** Ends an open connection gracefully so that its client reconnects. {@link #onAttemptEnded} still follows. */
     void move(long requestId);
 
-    /** Subscribes to changes of the server list; answered by {@link #members}. */
+    /** Subscribes to changes of the server list; answered by {@link #onServerList}. */
     void subscribe();
 
-    /** Requests a server's load report; answered by {@link #report}, or not at all if no report is available. */
-    void ask(String serverName);
+    /** Requests a server's load report; answered by {@link #onLoadReport}, or not at all if no report is available. */
+    void requestLoadReport(String serverName);
 
-    /** Schedules a call of {@link #timer} with this token, at the given clock time or shortly after it. */
-    void timer(long at, long token);
+    /** Schedules a call of {@link #scheduleTimer} with this token, at the given clock time or shortly after it. */
+    void scheduleTimer(long at, long token);
 
     /** Writes a line to the operator's log. */
     void log(String message);
@@ -58,15 +58,15 @@
   /** How often the effect of a request may occur. */
   enum Effect {
     /** The request may be repeated freely. */
-    SAFE,
+    IDEMPOTENT,
     /** A group of servers drops repeats of the request for a limited time. */
-    KEYED,
+    DEDUPLICATED,
     /** The request must not run twice. */
-    UNSAFE
+    NON_IDEMPOTENT
   }
 
-  /** Which servers drop repeats of a {@link Effect#KEYED} request. */
-  enum Scope {
+  /** Which servers drop repeats of a {@link Effect#DEDUPLICATED} request. */
+  enum DedupScope {
     ALL,
     ZONE,
     CELL
@@ -99,7 +99,7 @@
   }
 
   /** The content of a server list event. */
-  enum ListKind {
+  enum ListUpdateKind {
     /** Only the servers that changed. */
     CHANGES,
     /** All servers; servers that are missing from the list are gone. */
@@ -111,7 +111,7 @@
   }
 
   /** Whether a server accepts new connections. */
-  enum State {
+  enum ServerState {
     READY,
     DRAINING,
     GONE
@@ -122,74 +122,74 @@
    *
    * @param name opaque name, the same at every balancer
    * @param zone the zone in which the server runs
-   * @param kind the machine type
+   * @param machineType the machine type
    * @param cell the set of servers that recognize each other's request keys
-   * @param size capacity relative to other servers; a value that is not positive means unknown and
+   * @param relativeCapacity capacity relative to other servers; a value that is not positive means unknown and
    *     is stored as 1
-   * @param since clock time of the latest start, 0 if that is long ago
+   * @param startedAt clock time of the latest start, 0 if that is long ago
    */
-  record Server(String name, String zone, String kind, int cell, State state, double size,
-      long since) {
+  record Server(String name, String zone, String machineType, int cell, ServerState state, double relativeCapacity,
+      long startedAt) {
     /** Throws {@link IllegalArgumentException} if the name or state is missing or the start time is negative. */
     public Server {
-      if (name == null || name.isEmpty() || state == null || since < 0) {
+      if (name == null || name.isEmpty() || state == null || startedAt < 0) {
         throw new IllegalArgumentException("a server requires a name, a state and a start time that is not negative");
       }
-      size = size > 0 ? size : 1;
+      relativeCapacity = relativeCapacity > 0 ? relativeCapacity : 1;
     }
 
     /** Returns a copy of this server with another state and start time. */
-    Server withState(State newState, long newStartedAt) {
-      return new Server(name, zone, kind, cell, newState, size, newStartedAt);
+    Server withState(ServerState newState, long newStartedAt) {
+      return new Server(name, zone, machineType, cell, newState, relativeCapacity, newStartedAt);
     }
   }
 
   /**
    * One request for a connection. Strings are null if absent.
    *
-   * @param type name of the request class
-   * @param client key of the client, for affinity
+   * @param className name of the request class
+   * @param clientKey key of the client, for affinity
    * @param deadline clock time after which the client no longer waits
-   * @param hint expected load in microseconds of work per second, 0 if unknown
-   * @param group name of the group; connections of one group share work on a server
-   * @param retry whether the client has sent this request before
-   * @param returning whether the client reconnects after an interruption or a move
+   * @param loadHint expected load in microseconds of work per second, 0 if unknown
+   * @param groupName name of the group; connections of one group share work on a server
+   * @param isRetry whether the client has sent this request before
+   * @param isReturning whether the client reconnects after an interruption or a move
    */
-  record Request(long id, String type, String tenant, String client, long deadline, double hint,
-      String group, boolean retry, boolean returning) {}
+  record Request(long id, String className, String tenant, String clientKey, long deadline, double loadHint,
+      String groupName, boolean isRetry, boolean isReturning) {}
 
   /**
    * A request class.
    *
-   * @param aim target for the setup time of a connection, in microseconds
-   * @param window for {@link Effect#KEYED}: time after the first attempt during which repeats are
+   * @param setupTargetMicros target for the setup time of a connection, in microseconds
+   * @param dedupWindowMicros for {@link Effect#DEDUPLICATED}: time after the first attempt during which repeats are
    *     dropped, in microseconds
-   * @param worth value of one request
-   * @param messageAim target for the time of a message on an open connection, in microseconds; 0 if not
+   * @param value value of one request
+   * @param messageTargetMicros target for the time of a message on an open connection, in microseconds; 0 if not
    *     specified
    */
-  record RequestClass(String name, Effect effect, Scope scope, long aim, long window,
-      double worth, double messageAim) {}
+  record RequestClass(String name, Effect effect, DedupScope dedupScope, long setupTargetMicros, long dedupWindowMicros,
+      double value, double messageTargetMicros) {}
 
   /**
    * The value of connections, which decides between them when the capacity does not suffice for all.
    *
-   * @param byWork whether the value grows with a connection's load; otherwise all connections of a class
+   * @param growsWithLoad whether the value grows with a connection's load; otherwise all connections of a class
    *     have the same value
-   * @param overShare factor from 0 to 1 for the value of connections beyond their tenant's share
-   * @param shares open connections that each tenant's share covers, summed over all balancers; a tenant that
+   * @param overShareFactor factor from 0 to 1 for the value of connections beyond their tenant's share
+   * @param tenantShares open connections that each tenant's share covers, summed over all balancers; a tenant that
    *     is absent has no limit
    */
-  record Value(boolean byWork, double overShare, Map<String, Double> shares) {
+  record ConnectionValue(boolean growsWithLoad, double overShareFactor, Map<String, Double> tenantShares) {
     /** Equal value for all connections of a class, and no tenant shares. */
-    public static final Value NONE = new Value(false, 1, Map.of());
+    public static final ConnectionValue DEFAULT = new ConnectionValue(false, 1, Map.of());
 
     /** Throws {@link IllegalArgumentException} if the factor is outside 0 to 1. */
-    public Value {
-      if (!(overShare >= 0 && overShare <= 1)) {
+    public ConnectionValue {
+      if (!(overShareFactor >= 0 && overShareFactor <= 1)) {
         throw new IllegalArgumentException("worth beyond a share must be from 0 to 1");
       }
-      shares = Map.copyOf(shares);
+      tenantShares = Map.copyOf(tenantShares);
     }
   }
 
@@ -197,40 +197,40 @@
    * The settings of a balancer. Times are in microseconds.
    *
    * @param zone the balancer's own zone
-   * @param index the balancer's index among all balancers, from 0
-   * @param balancers number of balancers
-   * @param classes the request classes
-   * @param subscribe whether list changes arrive only after {@link Actions#subscribe}
-   * @param askWithin age up to which the list counts as known without a subscription
+   * @param balancerIndex the balancer's index among all balancers, from 0
+   * @param balancerCount number of balancers
+   * @param requestClasses the request classes
+   * @param requiresSubscription whether list changes arrive only after {@link Actions#subscribe}
+   * @param maxListAgeMicros age up to which the list counts as known without a subscription
    * @param maxAttempts maximum number of attempts of one request; at most one of them is in flight at a time
-   * @param maxRetryAfter maximum retry-after that clients honour, 0 if they honour none
-   * @param crossZonePrice cost of sending a request to another zone, as a fraction of the request's value
-   * @param movePrice cost of moving a connection, in the same unit
-   * @param coldShare fraction of its capacity that a server has at least when it starts
-   * @param coldTime time after its start at which a server is warm
-   * @param coldMultiple multiple of its present capacity beyond which load makes a cold server fail
-   * @param coldWindow time for which such load must last to make the server fail
-   * @param value the value of connections
-   * @param reports whether servers can be asked for load reports
+   * @param maxRetryAfterMicros maximum retry-after that clients honour, 0 if they honour none
+   * @param crossZoneCost cost of sending a request to another zone, as a fraction of the request's value
+   * @param moveCost cost of moving a connection, in the same unit
+   * @param coldCapacityFraction fraction of its capacity that a server has at least when it starts
+   * @param warmUpMicros time after its start at which a server is warm
+   * @param overloadFactor multiple of its present capacity beyond which load makes a cold server fail
+   * @param overloadWindowMicros time for which such load must last to make the server fail
+   * @param connectionValue the value of connections
+   * @param offersLoadReports whether servers can be asked for load reports
    */
-  record Settings(String zone, int index, int balancers, List<RequestClass> classes,
-      boolean subscribe, long askWithin, int maxAttempts, long maxRetryAfter,
-      double crossZonePrice, double movePrice, double coldShare, long coldTime, double coldMultiple,
-      long coldWindow, Value value, boolean reports) {
+  record Settings(String zone, int balancerIndex, int balancerCount, List<RequestClass> requestClasses,
+      boolean requiresSubscription, long maxListAgeMicros, int maxAttempts, long maxRetryAfterMicros,
+      double crossZoneCost, double moveCost, double coldCapacityFraction, long warmUpMicros, double overloadFactor,
+      long overloadWindowMicros, ConnectionValue connectionValue, boolean offersLoadReports) {
     /** Throws {@link IllegalArgumentException} if a value is missing or out of range, such as a negative time. */
     public Settings {
-      if (zone == null || classes == null || balancers < 1 || maxAttempts < 1) {
+      if (zone == null || requestClasses == null || balancerCount < 1 || maxAttempts < 1) {
         throw new IllegalArgumentException(
             "settings require a zone, request classes, at least one balancer and at least one attempt");
       }
-      if (value == null) {
+      if (connectionValue == null) {
         throw new IllegalArgumentException("settings require the value of connections");
       }
-      if (askWithin < 0 || maxRetryAfter < 0 || coldTime < 0 || coldWindow < 0) {
+      if (maxListAgeMicros < 0 || maxRetryAfterMicros < 0 || warmUpMicros < 0 || overloadWindowMicros < 0) {
         throw new IllegalArgumentException("times must not be negative");
       }
-      if (!(coldShare >= 0 && coldShare <= 1) || !(coldMultiple > 0) || !(crossZonePrice >= 0)
-          || !(movePrice >= 0)) {
+      if (!(coldCapacityFraction >= 0 && coldCapacityFraction <= 1) || !(overloadFactor > 0) || !(crossZoneCost >= 0)
+          || !(moveCost >= 0)) {
         throw new IllegalArgumentException(
             "the cold share must be from 0 to 1, the overload factor positive, and prices not negative");
       }
@@ -244,7 +244,7 @@
   void configure(long now, Settings settings);
 
   /** The server list was updated. Updates arrive in order, and none is skipped. */
-  void members(long now, ListKind kind, List<Server> servers);
+  void onServerList(long now, ListUpdateKind kind, List<Server> servers);
 
   /**
    * An operator suspends a server: whatever its state in the list, it gets no new connections until {@link #resume},
@@ -260,62 +260,62 @@
    *
    * @param serverByClient server names by client key; modified, and not to be used by the caller afterwards
    */
-  void bind(long now, Map<String, String> serverByClient);
+  void restoreAffinity(long now, Map<String, String> serverByClient);
 
   /** A connection was already open on a server at the start; its attempt 0 counts as sent and established. */
-  void handover(long now, Request request, String serverName);
+  void onHandover(long now, Request request, String serverName);
 
   /**
    * A new request arrived; it gets one final answer before its deadline.
    *
    * @throws IllegalStateException if the id is still in use
    */
-  void request(long now, Request request);
+  void onRequest(long now, Request request);
 
   /** An attempt's connection was established. */
-  void opened(long now, long requestId, int attempt, long latencyMicros);
+  void onEstablished(long now, long requestId, int attempt, long latencyMicros);
 
   /**
-   * An attempt ended; called exactly once for each {@link Actions#send}.
+   * An attempt ended; called exactly once for each {@link Actions#startAttempt}.
    *
    * @param requestFinished whether the request has its final answer, by this outcome or earlier; otherwise the answer
    *     is still due
    */
-  void ended(long now, long requestId, int attempt, Outcome outcome, long latencyMicros,
+  void onAttemptEnded(long now, long requestId, int attempt, Outcome outcome, long latencyMicros,
       boolean requestFinished);
 
   /** The load of an open connection changed; in microseconds of work per second. */
-  void load(long now, long requestId, int attempt, double load);
+  void onLoad(long now, long requestId, int attempt, double load);
 
   /** Messages at the server of this connection currently take {@code delayMicros}. */
-  void delay(long now, long requestId, int attempt, double delayMicros);
+  void onQueueingDelay(long now, long requestId, int attempt, double delayMicros);
 
   /**
-   * A server's load report arrived, requested by {@link Actions#ask}.
+   * A server's load report arrived, requested by {@link Actions#requestLoadReport}.
    *
    * @param utilization the server's demand over its capacity, not negative; above 1 work queues
    */
-  void report(long now, String serverName, double utilization);
+  void onLoadReport(long now, String serverName, double utilization);
 
   /**
    * Returns whether an attempt whose connection is ready should still be sent; if not, it ends as
    * {@link Outcome#MOOT}. Since the decision its server may have been suspended, or the time during which repeats are
    * dropped may have ended.
    */
-  boolean confirms(long now, long requestId);
+  boolean shouldSend(long now, long requestId);
 
   /** Starts no further attempts: queued requests are answered now, and those with an attempt in flight when it ends. */
-  void close(long now);
+  void stopAttempts(long now);
 
   /**
    * The client disconnected, or the time for the answer expired; no answer is due any more. Attempts in flight still
-   * end with {@link #ended}.
+   * end with {@link #onAttemptEnded}.
    */
-  void departed(long now, long requestId);
+  void onClientDisconnected(long now, long requestId);
 
   /** Returns whether a server gets no new connections at present, by its state or by the balancer's own decision. */
-  boolean avoids(long now, String serverName);
+  boolean isExcluded(long now, String serverName);
 
   /** A scheduled timer fired. */
-  void timer(long now, long token);
+  void onTimer(long now, long token);
 }
--- a/proxy/src/main/java/amberhoist/decide/Ledger.java
+++ b/proxy/src/main/java/amberhoist/decide/BalancerState.java
@@ -11,10 +11,10 @@
  * The state that {@link Policy} keeps about servers, requests and groups. These types hold records and counts and make
  * no decisions. Clock times are in microseconds.
  */
-final class Ledger {
+final class BalancerState {
   private static final long NEVER = Long.MIN_VALUE / 2; // the clock may start at 0
 
-  private Ledger() {}
+  private BalancerState() {}
 
   /** What this balancer knows about a server. */
   static final class TrackedServer {
--- a/proxy/src/main/java/amberhoist/decide/Policy.java
+++ b/proxy/src/main/java/amberhoist/decide/Policy.java
@@ -1,11 +1,11 @@
 package amberhoist.decide;
 
-import amberhoist.decide.Ledger.AffinityEntry;
-import amberhoist.decide.Ledger.ConnectionGroup;
-import amberhoist.decide.Ledger.DecayingRate;
-import amberhoist.decide.Ledger.TrackedRequest;
-import amberhoist.decide.Ledger.TrackedServer;
-import amberhoist.decide.Ledger.TypicalLoad;
+import amberhoist.decide.BalancerState.AffinityEntry;
+import amberhoist.decide.BalancerState.ConnectionGroup;
+import amberhoist.decide.BalancerState.DecayingRate;
+import amberhoist.decide.BalancerState.TrackedRequest;
+import amberhoist.decide.BalancerState.TrackedServer;
+import amberhoist.decide.BalancerState.TypicalLoad;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -26,22 +26,22 @@
   // Times are in microseconds, as the names say; fractions and factors have no unit.
 
   /** Lifetime of an affinity entry: outlives the pauses of a client, but not until its visit on another day. */
-  static final long TTL = 60_000_000;
+  static final long AFFINITY_TTL_MICROS = 60_000_000;
   /** Interval between checks of queued requests and deadlines: well below any setup target. */
-  static final long TICK = 20_000;
+  static final long TICK_INTERVAL_MICROS = 20_000;
   /** Interval between scans of all servers: long enough for scans of hundreds of servers to cost little. */
-  static final long LOOK = 100_000;
+  static final long SCAN_INTERVAL_MICROS = 100_000;
   /** Interval between removals of old entries: short enough to bound the memory. */
-  static final long SWEEP = 10_000_000;
+  static final long SWEEP_INTERVAL_MICROS = 10_000_000;
   /** How long before the deadline an answer is given, since a batch of events may come late. */
-  static final long ANSWER_MARGIN_MICROS = 2 * TICK;
+  static final long ANSWER_MARGIN_MICROS = 2 * TICK_INTERVAL_MICROS;
   /** Minimum time left for a further attempt: a few round trips. */
   static final long MIN_RETRY_TIME_MICROS = 50_000;
 
   /** Fraction of the time for which a list counts as known after which the first subscription is made at the latest. */
-  static final double FIRST_ASK = 0.25;
+  static final double FIRST_SUBSCRIBE_FRACTION = 0.25;
   /** Base wait after a failed call to the list service; doubled with each further failure. */
-  static final long LIST_WAIT = 500_000;
+  static final long MIN_LIST_RETRY_MICROS = 500_000;
   /** Maximum base wait after a failed call to the list service, so that the list does not become too old. */
   static final long MAX_LIST_RETRY_MICROS = 8_000_000;
 
@@ -60,9 +60,9 @@
    */
   static final double MAX_DELAY_FRACTION = 1.0;
   /** How long a delay report remains valid; one arrives each second. */
-  static final long SLOW_MEMORY = 2_500_000;
+  static final long DELAY_REPORT_TTL_MICROS = 2_500_000;
   /** Interval between delay reports; queued work is to be finished by the next one. */
-  static final double SECOND = 1_000_000;
+  static final double DELAY_REPORT_INTERVAL_MICROS = 1_000_000;
 
   /** Maximum of a load limit, as a fraction of the load at which the server was overloaded or dropped connections. */
   static final double LOAD_LIMIT_FRACTION = 0.7;
@@ -88,7 +88,7 @@
   /** Weight, in requests, of the prior assumption that a new group accounts for a tenth of all requests. */
   static final double PRIOR_REQUESTS = 9;
   /** Minimum number of preferred servers: if one fails, its clients do not all go to the same other server. */
-  static final int LEAST_HOMES = 3;
+  static final int MIN_PREFERRED_SERVERS = 3;
   /** Load that a group costs a server, in mean connection loads: an estimate, since no setting states it. */
   static final double GROUP_COST_MEAN_LOADS = 4;
 
@@ -108,9 +108,9 @@
    * Maximum number of balancers of a small fleet. Every setup calls the shared store, so a balancer of a larger fleet
    * takes only a fraction of what one of a small fleet does.
    */
-  static final double FEW = 4;
+  static final double MAX_SMALL_FLEET_BALANCERS = 4;
   /** Initial setup concurrency limit, until the latency of setups is known. */
-  static final double WINDOW_FIRST = 10;
+  static final double INITIAL_SETUP_LIMIT = 10;
   static final double MIN_SETUP_LIMIT = 2;
   static final double MAX_SETUP_LIMIT = 100;
   /** Factor for the setup limit when setups become slow. */
@@ -128,29 +128,29 @@
   static final int MAX_LOAD_SAMPLES = 100;
 
   /** Utilization from which on a server is overloaded, and some of its connections are moved. */
-  static final double HOT = 0.85;
+  static final double HIGH_UTILIZATION = 0.85;
   /** Utilization that remains after offloading: nearly all servers at this level meet the message target. */
-  static final double COOL = 0.8;
+  static final double OFFLOADED_UTILIZATION = 0.8;
   /** Difference in utilization that justifies a server in another zone, because crossing zones has a cost. */
   static final double CROSS_ZONE_PENALTY = 0.1;
   /** Lower bound for the mean utilization of warm servers, because a few reports may miss the busy ones. */
   static final double MIN_WARM_UTILIZATION = 0.25;
   /** How long a load report remains valid: loads vary within a few seconds. */
-  static final long FRESH = 3_000_000;
+  static final long LOAD_REPORT_TTL_MICROS = 3_000_000;
   /** Maximum wait for load reports before a first attempt: covers round trips to another zone. */
-  static final long ASK_WAIT = 4 * TICK;
+  static final long LOAD_REPORT_WAIT_MICROS = 4 * TICK_INTERVAL_MICROS;
   /** Rate of load report requests per connection: each server is asked every few seconds. */
   static final double REPORT_REQUESTS_PER_MICRO = 0.1e-6;
 
   /** Fraction of a load limit reserved from connections of no value; less is reserved from more valuable ones. */
   static final double LOAD_LIMIT_RESERVE_FRACTION = 0.6;
   /** Time within which a suspended server loses its connections, and within which a resumed one is probed. */
-  static final long CLEAR = 2_000_000;
+  static final long SUSPEND_DRAIN_MICROS = 2_000_000;
   /** A reset before this age counts as a failed setup, because servers drop their newest connections first. */
-  static final long YOUNG = 3_000_000;
+  static final long EARLY_RESET_MICROS = 3_000_000;
 
   private static final RequestClass UNKNOWN_CLASS =
-      new RequestClass("", Effect.UNSAFE, Scope.CELL, 0, 0, 1, 0);
+      new RequestClass("", Effect.NON_IDEMPOTENT, DedupScope.CELL, 0, 0, 1, 0);
 
   private final Map<String, TrackedServer> servers = new LinkedHashMap<>();
   private final List<TrackedServer> rotation = new ArrayList<>();
@@ -189,7 +189,7 @@
   private long nextScanAt;
   private long nextSweepAt;
   private long subscribeAt;
-  private long listRetryMicros = LIST_WAIT;
+  private long listRetryMicros = MIN_LIST_RETRY_MICROS;
 
   @Override
   public void start(long now, Settings newSettings, long seed, Actions sink) {
@@ -203,35 +203,35 @@
     random = new Random(seed);
     applySettings(newSettings);
     retryTokensAt = now;
-    setupLimit = WINDOW_FIRST * fleetShare;
-    nextSweepAt = now + SWEEP;
+    setupLimit = INITIAL_SETUP_LIMIT * fleetShare;
+    nextSweepAt = now + SWEEP_INTERVAL_MICROS;
     nextIndex = random.nextInt(1 << 16); // taken modulo the length of the rotation, which is not known yet
     // random, so that the balancers do not all subscribe within the same second
     long subscribeDelayMicros =
-        (long) (random.nextDouble() * newSettings.askWithin() * FIRST_ASK);
-    subscribeAt = newSettings.subscribe() ? now + subscribeDelayMicros : Long.MAX_VALUE;
-    actions.timer(now + TICK, 0);
+        (long) (random.nextDouble() * newSettings.maxListAgeMicros() * FIRST_SUBSCRIBE_FRACTION);
+    subscribeAt = newSettings.requiresSubscription() ? now + subscribeDelayMicros : Long.MAX_VALUE;
+    actions.scheduleTimer(now + TICK_INTERVAL_MICROS, 0);
   }
 
   @Override
   public void configure(long now, Settings newSettings) {
     requireStarted();
     applySettings(newSettings);
-    subscribeAt = newSettings.subscribe() ? subscribeAt : Long.MAX_VALUE;
+    subscribeAt = newSettings.requiresSubscription() ? subscribeAt : Long.MAX_VALUE;
     rebuildRotation(now);
   }
 
   private void applySettings(Settings newSettings) {
     settings = newSettings;
-    fleetShare = Math.min(1, FEW / newSettings.balancers());
-    usesLoadReports = newSettings.reports() && fleetShare < 1;
+    fleetShare = Math.min(1, MAX_SMALL_FLEET_BALANCERS / newSettings.balancerCount());
+    usesLoadReports = newSettings.offersLoadReports() && fleetShare < 1;
     requestClasses.clear();
     minMessageTargetMicros = minSetupTargetMicros = Double.MAX_VALUE;
-    for (RequestClass type : newSettings.classes()) {
-      minSetupTargetMicros = Math.min(minSetupTargetMicros, type.aim());
+    for (RequestClass type : newSettings.requestClasses()) {
+      minSetupTargetMicros = Math.min(minSetupTargetMicros, type.setupTargetMicros());
       requestClasses.put(type.name(), type);
-      minMessageTargetMicros = type.messageAim() > 0
-          ? Math.min(minMessageTargetMicros, type.messageAim()) : minMessageTargetMicros;
+      minMessageTargetMicros = type.messageTargetMicros() > 0
+          ? Math.min(minMessageTargetMicros, type.messageTargetMicros()) : minMessageTargetMicros;
     }
   }
 
@@ -242,48 +242,48 @@
   }
 
   @Override
-  public void members(long now, ListKind kind, List<Server> listed) {
+  public void onServerList(long now, ListUpdateKind kind, List<Server> listed) {
     requireStarted();
-    if (kind == ListKind.FAILED) {
+    if (kind == ListUpdateKind.FAILED) {
       subscribeAt = now + listRetryMicros + (long) (random.nextDouble() * listRetryMicros);
       listRetryMicros = Math.min(2 * listRetryMicros, MAX_LIST_RETRY_MICROS);
       return;
     }
-    if (kind != ListKind.STALE && settings.subscribe()) {
-      listRetryMicros = LIST_WAIT;
+    if (kind != ListUpdateKind.STALE && settings.requiresSubscription()) {
+      listRetryMicros = MIN_LIST_RETRY_MICROS;
       subscribeAt = Long.MAX_VALUE; // the subscription is valid until a list event reports a failure
     }
-    Map<String, TrackedServer> missing = new LinkedHashMap<>(kind == ListKind.CHANGES ? Map.of() : servers);
+    Map<String, TrackedServer> missing = new LinkedHashMap<>(kind == ListUpdateKind.CHANGES ? Map.of() : servers);
     for (Server info : listed) {
       missing.remove(info.name());
       updateInfo(now, servers.computeIfAbsent(info.name(), name -> new TrackedServer()), info);
     }
     missing.values().forEach(server ->
-        updateInfo(now, server, server.info.withState(State.GONE, server.info.since())));
+        updateInfo(now, server, server.info.withState(ServerState.GONE, server.info.startedAt())));
     rebuildRotation(now);
     retryQueued(now);
   }
 
   /** Updates a server from a list entry. The list may be old, so the latest start time stays, with the state listed. */
   private void updateInfo(long now, TrackedServer server, Server info) {
-    long startedAt = server.info == null ? 0 : server.info.since();
-    if (server.info == null || info.since() > startedAt) {
+    long startedAt = server.info == null ? 0 : server.info.startedAt();
+    if (server.info == null || info.startedAt() > startedAt) {
       server.coldExtraConnections = EXTRA_CONNECTIONS * random.nextDouble();
       server.warmUpBudget = random.nextDouble(); // many balancers may each use a fraction of one connection
       server.warmUpBudgetAt = now;
     }
-    server.info = info.since() < startedAt ? info.withState(info.state(), startedAt) : info;
+    server.info = info.startedAt() < startedAt ? info.withState(info.state(), startedAt) : info;
   }
 
   /** Rebuilds the rotation in an order that is the same at every balancer, and removes entries of other servers. */
   private void rebuildRotation(long now) {
     servers.values().forEach(server -> server.inRotation =
-        server.info.state() == State.READY && !suspendedAt.containsKey(server.info.name()));
+        server.info.state() == ServerState.READY && !suspendedAt.containsKey(server.info.name()));
     rotation.clear();
     servers.values().stream().filter(server -> server.inRotation).forEach(rotation::add);
     rotation.sort(Comparator.comparing(server -> server.info.name()));
     servers.values().removeIf(server -> !server.inRotation && server.connections == 0
-        && server.info.state() == State.GONE);
+        && server.info.state() == ServerState.GONE);
     affinityEntries.values().removeIf(entry -> !entry.server().inRotation);
     groups.values().forEach(group -> group.rankedServers = null);
     updateCapacities(now);
@@ -304,24 +304,24 @@
       servers.put(serverName, server);
       updateInfo(now, server, previous.info.withState(previous.info.state(), now));
       server.warmUpBudget = 1; // for the probe
-      server.resumeProbeAt = now + (long) (random.nextDouble() * CLEAR);
+      server.resumeProbeAt = now + (long) (random.nextDouble() * SUSPEND_DRAIN_MICROS);
       rebuildRotation(now);
     }
   }
 
   @Override
-  public void handover(long now, Request request, String serverName) {
+  public void onHandover(long now, Request request, String serverName) {
     requireStarted();
     TrackedRequest tracked = track(now, request);
     tracked.established = true;
     completionRate.add(now, 0.5);
     TrackedServer server = servers.get(serverName);
     assign(now, tracked, server);
-    recordAffinity(now, request.client(), server);
+    recordAffinity(now, request.clientKey(), server);
   }
 
   @Override
-  public void request(long now, Request request) {
+  public void onRequest(long now, Request request) {
     requireStarted();
     dispatch(now, track(now, request));
   }
@@ -332,11 +332,11 @@
       throw new IllegalStateException("request id is already in use: " + request.id());
     }
     tracked.request = request;
-    tracked.requestClass = requestClasses.getOrDefault(request.type(), UNKNOWN_CLASS);
-    tracked.group = request.group() == null ? null : groups.computeIfAbsent(request.group(),
+    tracked.requestClass = requestClasses.getOrDefault(request.className(), UNKNOWN_CLASS);
+    tracked.group = request.groupName() == null ? null : groups.computeIfAbsent(request.groupName(),
         name -> new ConnectionGroup(random.nextDouble()));
-    tracked.loadKnown = request.hint() > 0;
-    tracked.load = tracked.loadKnown ? request.hint() : typicalLoad(tracked.requestClass);
+    tracked.loadKnown = request.loadHint() > 0;
+    tracked.load = tracked.loadKnown ? request.loadHint() : typicalLoad(tracked.requestClass);
     recentGroupedRequests += tracked.group == null ? 0 : 1;
     tracked.offset = tracked.group == null ? 0 : tracked.group.countRequest(OFFSET_STEP);
     tracked.arrivedAt = now;
@@ -357,7 +357,7 @@
     long waited = now - tracked.arrivedAt;
     if (server != null) {
       startAttempt(now, tracked, server, timeLeft);
-    } else if (!allSuspended && (waited < tracked.requestClass.aim()
+    } else if (!allSuspended && (waited < tracked.requestClass.setupTargetMicros()
         || throttled && waited < MAX_QUEUED_FRACTION * (waited + timeLeft))) {
       queued.add(tracked);
     } else {
@@ -371,31 +371,31 @@
    */
   private boolean awaitsReports(long now, TrackedRequest tracked) {
     if (!usesLoadReports || tracked.group == null || tracked.attempts > 0
-        || now > tracked.arrivedAt + ASK_WAIT) {
+        || now > tracked.arrivedAt + LOAD_REPORT_WAIT_MICROS) {
       return false;
     }
-    List<TrackedServer> asked = preferredServers(now, tracked).stream().limit(LEAST_HOMES).toList();
+    List<TrackedServer> asked = preferredServers(now, tracked).stream().limit(MIN_PREFERRED_SERVERS).toList();
     asked.stream()
-        .filter(server -> now - Math.max(server.reportedAt, server.reportRequestedAt) >= FRESH)
+        .filter(server -> now - Math.max(server.reportedAt, server.reportRequestedAt) >= LOAD_REPORT_TTL_MICROS)
         .forEach(server -> requestReport(now, server));
     return asked.stream().anyMatch(server -> server.reportRequestedAt > server.reportedAt
-        && now - server.reportRequestedAt < ASK_WAIT);
+        && now - server.reportRequestedAt < LOAD_REPORT_WAIT_MICROS);
   }
 
   private void requestReport(long now, TrackedServer server) {
     server.reportRequestedAt = now;
-    actions.ask(server.info.name());
+    actions.requestLoadReport(server.info.name());
   }
 
   /** Offloads an overloaded server: each balancer of a large fleet moves its own part of the excess. */
   @Override
-  public void report(long now, String serverName, double utilization) {
+  public void onLoadReport(long now, String serverName, double utilization) {
     TrackedServer server = servers.get(serverName);
     if (server != null) {
       server.utilization = utilization;
       server.reportedAt = now;
       offload(now, server,
-          utilization > HOT ? server.load * (1 - COOL / utilization) : 0, false);
+          utilization > HIGH_UTILIZATION ? server.load * (1 - OFFLOADED_UTILIZATION / utilization) : 0, false);
       retryQueued(now);
     }
   }
@@ -434,8 +434,8 @@
    * the rotation and the load check. Returns null if no server is available.
    */
   private TrackedServer selectServer(long now, TrackedRequest tracked) {
-    AffinityEntry entry = tracked.ignoresAffinity ? null : affinityEntries.get(tracked.request.client());
-    if (entry != null && now - entry.lastUsed() < TTL && isUsable(now, tracked, entry.server())) {
+    AffinityEntry entry = tracked.ignoresAffinity ? null : affinityEntries.get(tracked.request.clientKey());
+    if (entry != null && now - entry.lastUsed() < AFFINITY_TTL_MICROS && isUsable(now, tracked, entry.server())) {
       return entry.server();
     }
     // a resumed server is probed soon, whichever server would be next
@@ -467,11 +467,11 @@
       double delayMicros = overloadDelay(now, next);
       double fairShare = fairShare(next);
       double extraConnections = next.isCold ? next.coldExtraConnections : EXTRA_CONNECTIONS;
-      boolean reported = next.hasRecentReport(now, FRESH);
-      boolean hasRoom = reported ? next.utilization < HOT
+      boolean reported = next.hasRecentReport(now, LOAD_REPORT_TTL_MICROS);
+      boolean hasRoom = reported ? next.utilization < HIGH_UTILIZATION
           : next.load + tracked.load <= FAIR_SHARE_FACTOR * totalLoad * next.effectiveCapacity / totalCapacity
               + extraConnections * tracked.load;
-      boolean isNear = settings.crossZonePrice() <= 0 || settings.zone().equals(next.info.zone());
+      boolean isNear = settings.crossZoneCost() <= 0 || settings.zone().equals(next.info.zone());
       if (delayMicros == 0 && hasRoom) {
         if (tracked.group == null) {
           return nextInRotation(now, tracked, start + step);
@@ -479,7 +479,7 @@
         if (isNear && !usesLoadReports) {
           return next;
         }
-        double utilization = (reported ? next.utilization : HOT) + (isNear ? 0 : CROSS_ZONE_PENALTY);
+        double utilization = (reported ? next.utilization : HIGH_UTILIZATION) + (isNear ? 0 : CROSS_ZONE_PENALTY);
         leastUtilized = utilization < minUtilization ? next : leastUtilized;
         minUtilization = Math.min(minUtilization, utilization);
       }
@@ -494,17 +494,17 @@
   /** The value of a unit of this request's load over the maximum value; lower beyond the tenant's share. */
   private double relativeValue(TrackedRequest tracked) {
     String tenant = String.valueOf(tracked.request.tenant());
-    double tenantShare = settings.value().shares().getOrDefault(tenant, Double.MAX_VALUE)
-        / settings.balancers();
+    double tenantShare = settings.connectionValue().tenantShares().getOrDefault(tenant, Double.MAX_VALUE)
+        / settings.balancerCount();
     // a balancer sees few connections of a tenant, so a second one beyond a small share is no excess
     double tolerance = 2 * Math.sqrt(tenantShare);
     double factor = tenantConnections.getOrDefault(tenant, 0) > tenantShare + tolerance
-        ? settings.value().overShare() : 1;
+        ? settings.connectionValue().overShareFactor() : 1;
     return Math.min(1, valuePerLoad(tracked.requestClass, tracked.load) * factor / maxValue);
   }
 
   private double valuePerLoad(RequestClass type, double load) {
-    return settings.value().byWork() ? type.worth() : type.worth() / load;
+    return settings.connectionValue().growsWithLoad() ? type.value() : type.value() / load;
   }
 
   /**
@@ -521,7 +521,7 @@
   }
 
   private double groupCost() {
-    return GROUP_COST_MEAN_LOADS * meanLoad / settings.balancers(); // shared by all balancers
+    return GROUP_COST_MEAN_LOADS * meanLoad / settings.balancerCount(); // shared by all balancers
   }
 
   private double fairShare(TrackedServer server) {
@@ -549,7 +549,7 @@
     double missingCapacity = (fleetShare < 1 && !usesLoadReports ? GROUP_SPREAD_NO_REPORTS : GROUP_SPREAD_FACTOR)
         * groupCapacity;
     for (TrackedServer server : rankServers(tracked)) {
-      if ((preferred.size() < LEAST_HOMES || missingCapacity > 0 || server.isCold && fleetShare < 1)
+      if ((preferred.size() < MIN_PREFERRED_SERVERS || missingCapacity > 0 || server.isCold && fleetShare < 1)
           && isUsable(now, tracked, server)) {
         preferred.add(server);
         missingCapacity -= server.effectiveCapacity;
@@ -572,8 +572,8 @@
     if (tracked.group.rankedServers == null) {
       tracked.group.rankedServers = new ArrayList<>(rotation);
       rotation.forEach(server -> // weighted by capacity, so that a large server ranks first for more groups
-          server.groupRank = -Math.log(Ledger.hashToFraction(tracked.request.group(), server.info.name()))
-              / server.info.size());
+          server.groupRank = -Math.log(BalancerState.hashToFraction(tracked.request.groupName(), server.info.name()))
+              / server.info.relativeCapacity());
       tracked.group.rankedServers.sort(Comparator.comparingDouble(server -> server.groupRank));
     }
     return tracked.group.rankedServers;
@@ -584,7 +584,7 @@
    * probe: the latest delay counts as reported when it started, so that no others follow before its own report.
    */
   private double overloadDelay(long now, TrackedServer server) {
-    return now - Math.max(server.delayReportedAt, server.firstConnectionAt) < SLOW_MEMORY
+    return now - Math.max(server.delayReportedAt, server.firstConnectionAt) < DELAY_REPORT_TTL_MICROS
         && server.queueingDelayMicros > AVOID_DELAY_FRACTION * minMessageTargetMicros ? server.queueingDelayMicros : 0;
   }
 
@@ -612,16 +612,16 @@
    * that servers deduplicate go only to servers that drop them, and only while they do.
    */
   private boolean mayRunOn(long now, TrackedRequest tracked, TrackedServer server) {
-    boolean sameScope = tracked.mayHaveRunOn != null && (tracked.requestClass.scope() == Scope.ZONE
+    boolean sameScope = tracked.mayHaveRunOn != null && (tracked.requestClass.dedupScope() == DedupScope.ZONE
         ? server.info.zone().equals(tracked.mayHaveRunOn.zone())
         : server.info.cell() == tracked.mayHaveRunOn.cell());
-    return isRepeatable(now, tracked, sameScope || tracked.requestClass.scope() == Scope.ALL);
+    return isRepeatable(now, tracked, sameScope || tracked.requestClass.dedupScope() == DedupScope.ALL);
   }
 
   private boolean isRepeatable(long now, TrackedRequest tracked, boolean dropsRepeats) {
-    boolean repeatIsDropped = tracked.requestClass.effect() == Effect.KEYED && dropsRepeats
-        && now - tracked.mayHaveRunAt < tracked.requestClass.window() - ANSWER_MARGIN_MICROS;
-    return !tracked.mayHaveRun || tracked.requestClass.effect() == Effect.SAFE || repeatIsDropped;
+    boolean repeatIsDropped = tracked.requestClass.effect() == Effect.DEDUPLICATED && dropsRepeats
+        && now - tracked.mayHaveRunAt < tracked.requestClass.dedupWindowMicros() - ANSWER_MARGIN_MICROS;
+    return !tracked.mayHaveRun || tracked.requestClass.effect() == Effect.IDEMPOTENT || repeatIsDropped;
   }
 
   /** The setups that a server can take now without failing under load while it is cold; unlimited when it is warm. */
@@ -633,10 +633,10 @@
     double endingPerMicro = completionRate.valueAt(now) * server.effectiveCapacity
         / (warmCapacity > 0 ? warmCapacity : totalCapacity);
     // the server's fair share over the warm-up time, which applies before any connection ends
-    double fairPerMicro = requests.size() * server.effectiveCapacity / totalCapacity / settings.coldTime()
+    double fairPerMicro = requests.size() * server.effectiveCapacity / totalCapacity / settings.warmUpMicros()
         / warmUtilization;
-    double perMicro = WARM_UP_BUDGET_FRACTION * settings.coldMultiple() * Math.max(endingPerMicro, fairPerMicro);
-    server.warmUpBudget = Math.min(Math.max(1, perMicro * settings.coldWindow()),
+    double perMicro = WARM_UP_BUDGET_FRACTION * settings.overloadFactor() * Math.max(endingPerMicro, fairPerMicro);
+    server.warmUpBudget = Math.min(Math.max(1, perMicro * settings.overloadWindowMicros()),
         server.warmUpBudget + perMicro * (now - server.warmUpBudgetAt));
     server.warmUpBudgetAt = now;
     return server.warmUpBudget;
@@ -644,22 +644,22 @@
 
   /** The fraction of its full capacity that a server has at least; it grows during the warm-up time. */
   private double capacityFraction(long now, TrackedServer server) {
-    long age = server.info.since() == 0 ? settings.coldTime() : Math.max(0, now - server.info.since());
-    double progress = settings.coldTime() == 0 ? 1 : (double) age / settings.coldTime();
-    return progress >= 1 ? 1 : settings.coldShare() + (1 - settings.coldShare()) * progress;
+    long age = server.info.startedAt() == 0 ? settings.warmUpMicros() : Math.max(0, now - server.info.startedAt());
+    double progress = settings.warmUpMicros() == 0 ? 1 : (double) age / settings.warmUpMicros();
+    return progress >= 1 ? 1 : settings.coldCapacityFraction() + (1 - settings.coldCapacityFraction()) * progress;
   }
 
   /** Updates the maximum value of a unit of load, and the capacities, where a cold server counts with its fraction. */
   private void updateCapacities(long now) {
-    maxValue = settings.classes().stream()
+    maxValue = settings.requestClasses().stream()
         .mapToDouble(type -> valuePerLoad(type, typicalLoad(type))).max().orElse(1);
     warmUtilization = Math.max(MIN_WARM_UTILIZATION, rotation.stream()
-        .filter(server -> !server.isCold && server.hasRecentReport(now, FRESH))
+        .filter(server -> !server.isCold && server.hasRecentReport(now, LOAD_REPORT_TTL_MICROS))
         .mapToDouble(server -> server.utilization).average().orElse(1));
     totalCapacity = warmCapacity = 0;
     for (TrackedServer server : rotation) {
       double fraction = capacityFraction(now, server);
-      server.effectiveCapacity = server.info.size() * fraction;
+      server.effectiveCapacity = server.info.relativeCapacity() * fraction;
       totalCapacity += server.effectiveCapacity;
       warmCapacity += fraction < 1 ? 0 : server.effectiveCapacity;
       server.isCold = fraction < 1;
@@ -667,7 +667,7 @@
   }
 
   private void startAttempt(long now, TrackedRequest tracked, TrackedServer server, long timeLeft) {
-    if (tracked.requestClass.effect() != Effect.SAFE && !tracked.mayHaveRun) {
+    if (tracked.requestClass.effect() != Effect.IDEMPOTENT && !tracked.mayHaveRun) {
       tracked.mayHaveRunAt = now;
       tracked.mayHaveRunOn = server.info;
     }
@@ -675,17 +675,17 @@
     server.setupsInFlight++;
     setupsInFlight++;
     server.warmUpBudget -= 1;
-    recordAffinity(now, tracked.request.client(), server);
+    recordAffinity(now, tracked.request.clientKey(), server);
     // an overloaded shared store delays attempts on other servers just as much
-    boolean storeOverloaded = fleetShare < 1 && setupLimit < WINDOW_FIRST * fleetShare / 2;
+    boolean storeOverloaded = fleetShare < 1 && setupLimit < INITIAL_SETUP_LIMIT * fleetShare / 2;
     boolean isLast = storeOverloaded || tracked.attempts >= settings.maxAttempts();
     long timeoutMicros = isLast ? timeLeft
-        : Math.min(timeLeft, Math.max(tracked.requestClass.aim(), timeLeft / 2));
-    actions.send(tracked.request.id(), server.info.name(), timeoutMicros);
+        : Math.min(timeLeft, Math.max(tracked.requestClass.setupTargetMicros(), timeLeft / 2));
+    actions.startAttempt(tracked.request.id(), server.info.name(), timeoutMicros);
   }
 
   @Override
-  public void bind(long now, Map<String, String> serverByClient) {
+  public void restoreAffinity(long now, Map<String, String> serverByClient) {
     serverByClient.values().removeIf(name -> !servers.containsKey(name) || !servers.get(name).inRotation);
     serverByClient.forEach((client, name) -> affinityEntries.putIfAbsent(client,
         new AffinityEntry(servers.get(name), now)));
@@ -724,10 +724,10 @@
    * repeated when the client retries; otherwise a failure.
    */
   private void rejectOrFail(long now, TrackedRequest tracked) {
-    long retryAfterMicros = Math.min(settings.maxRetryAfter(),
-        (long) (tracked.requestClass.aim() * (0.5 + random.nextDouble())));
-    if (isRepeatable(now + retryAfterMicros, tracked, tracked.requestClass.scope() == Scope.ALL)) {
-      actions.refuse(tracked.request.id(), retryAfterMicros);
+    long retryAfterMicros = Math.min(settings.maxRetryAfterMicros(),
+        (long) (tracked.requestClass.setupTargetMicros() * (0.5 + random.nextDouble())));
+    if (isRepeatable(now + retryAfterMicros, tracked, tracked.requestClass.dedupScope() == DedupScope.ALL)) {
+      actions.reject(tracked.request.id(), retryAfterMicros);
     } else {
       actions.fail(tracked.request.id());
     }
@@ -742,19 +742,19 @@
   }
 
   @Override
-  public void opened(long now, long requestId, int attempt, long latencyMicros) {
+  public void onEstablished(long now, long requestId, int attempt, long latencyMicros) {
     TrackedRequest tracked = requests.get(requestId);
     if (tracked != null && tracked.unendedAttempts > 0 && !tracked.established) {
       tracked.established = true;
       tracked.establishedAt = now;
       tracked.server.resumeProbeAt = Long.MAX_VALUE;
       retryTokens = Math.max(0, retryTokens
-          + (latencyMicros > tracked.requestClass.aim() ? -1 : RETRY_TOKENS_PER_SUCCESS));
+          + (latencyMicros > tracked.requestClass.setupTargetMicros() ? -1 : RETRY_TOKENS_PER_SUCCESS));
       setupsInFlight--;
       tracked.server.setupsInFlight--;
       // a server that drops new connections is cleared only by one that it keeps
       tracked.server.probeKeptAt = tracked.server.dropsNewConnections
-          ? now + YOUNG : tracked.server.probeKeptAt;
+          ? now + EARLY_RESET_MICROS : tracked.server.probeKeptAt;
       tracked.server.consecutiveFailures = Math.max(0,
           tracked.server.consecutiveFailures - (tracked.server.dropsNewConnections ? 0 : 1));
       updateSetupLimit(now, latencyMicros > minSetupTargetMicros, latencyMicros); // a slower setup was queued somewhere
@@ -763,7 +763,7 @@
   }
 
   @Override
-  public void ended(long now, long requestId, int attempt, Outcome outcome, long latencyMicros,
+  public void onAttemptEnded(long now, long requestId, int attempt, Outcome outcome, long latencyMicros,
       boolean requestFinished) {
     TrackedRequest tracked = requests.get(requestId);
     if (tracked == null || tracked.unendedAttempts == 0) {
@@ -785,7 +785,7 @@
     if (setupFailed || outcome == Outcome.RESET) {
       resetAffinity(tracked);
       tracked.failedServer = tracked.server;
-      boolean isYoung = tracked.established && now - tracked.establishedAt < YOUNG;
+      boolean isYoung = tracked.established && now - tracked.establishedAt < EARLY_RESET_MICROS;
       // connections that a server drops together count as one failure
       boolean isFirstDropped = isYoung && now >= tracked.server.ejectedUntil;
       if (isFirstDropped && tracked.server.connections > 0) {
@@ -814,12 +814,12 @@
   /** Removes the affinity entry after a failed setup or a broken connection, and ignores entries for this request. */
   private void resetAffinity(TrackedRequest tracked) {
     tracked.ignoresAffinity = true;
-    affinityEntries.computeIfPresent(tracked.request.client(),
+    affinityEntries.computeIfPresent(tracked.request.clientKey(),
         (client, entry) -> entry.server() == tracked.server ? null : entry);
   }
 
   @Override
-  public void load(long now, long requestId, int attempt, double load) {
+  public void onLoad(long now, long requestId, int attempt, double load) {
     TrackedRequest tracked = requests.get(requestId);
     if (tracked != null && tracked.unendedAttempts > 0) {
       addLoad(tracked, load - tracked.load);
@@ -849,14 +849,14 @@
   }
 
   @Override
-  public void delay(long now, long requestId, int attempt, double delayMicros) {
+  public void onQueueingDelay(long now, long requestId, int attempt, double delayMicros) {
     TrackedRequest tracked = requests.get(requestId);
     if (tracked != null && tracked.unendedAttempts > 0) {
       // reports arrive once a second
-      boolean hasPrevious = now - tracked.server.delayReportedAt < 1.5 * SECOND;
+      boolean hasPrevious = now - tracked.server.delayReportedAt < 1.5 * DELAY_REPORT_INTERVAL_MICROS;
       tracked.server.delayGrowth = hasPrevious
           ? (delayMicros - tracked.server.queueingDelayMicros) / (now - tracked.server.delayReportedAt)
-          : Math.min(1, delayMicros / SECOND);
+          : Math.min(1, delayMicros / DELAY_REPORT_INTERVAL_MICROS);
       tracked.server.queueingDelayMicros = delayMicros;
       tracked.server.delayReportedAt = now;
     }
@@ -872,7 +872,7 @@
     server.offloadedAt = now;
     double demand = Math.max(1, 1 + server.delayGrowth); // over the server's capacity
     lowerLoadLimit(server, Math.min(LOAD_LIMIT_FRACTION, 1 / demand));
-    offload(now, server, server.load * (1 - Math.max(0, 1 - delayMicros / SECOND) / demand),
+    offload(now, server, server.load * (1 - Math.max(0, 1 - delayMicros / DELAY_REPORT_INTERVAL_MICROS) / demand),
         delayMicros >= MAX_DELAY_FRACTION * minMessageTargetMicros);
   }
 
@@ -913,19 +913,19 @@
   }
 
   @Override
-  public boolean confirms(long now, long requestId) {
+  public boolean shouldSend(long now, long requestId) {
     TrackedRequest tracked = requests.get(requestId);
     return tracked != null && tracked.server.inRotation && mayRunOn(now, tracked, tracked.server);
   }
 
   @Override
-  public void close(long now) {
+  public void stopAttempts(long now) {
     closing = true;
     retryQueued(now);
   }
 
   @Override
-  public void departed(long now, long requestId) {
+  public void onClientDisconnected(long now, long requestId) {
     TrackedRequest tracked = requests.get(requestId);
     if (tracked != null) {
       finish(tracked);
@@ -933,15 +933,15 @@
   }
 
   @Override
-  public boolean avoids(long now, String serverName) {
+  public boolean isExcluded(long now, String serverName) {
     TrackedServer server = servers.get(serverName);
     return server == null || !server.inRotation || isEjected(now, server) || overloadDelay(now, server) > 0;
   }
 
   @Override
-  public void timer(long now, long token) {
+  public void onTimer(long now, long token) {
     requireStarted();
-    actions.timer(now + TICK, 0);
+    actions.scheduleTimer(now + TICK_INTERVAL_MICROS, 0);
     retryQueued(now);
     if (now >= subscribeAt) {
       subscribeAt = now + MAX_LIST_RETRY_MICROS;
@@ -950,7 +950,7 @@
     if (now < nextScanAt) {
       return;
     }
-    nextScanAt = now + LOOK;
+    nextScanAt = now + SCAN_INTERVAL_MICROS;
     updateCapacities(now);
     for (TrackedRequest tracked : requests.values()) {
       applyTypicalLoad(tracked);
@@ -958,13 +958,13 @@
           ? suspendedAt.get(tracked.server.info.name()) : null;
       // moves clients off a suspended server at an even rate, before its restart would disconnect them
       if (suspendedSince != null
-          && random.nextDouble() * Math.max(1, suspendedSince + CLEAR - now) < LOOK) {
+          && random.nextDouble() * Math.max(1, suspendedSince + SUSPEND_DRAIN_MICROS - now) < SCAN_INTERVAL_MICROS) {
         move(tracked);
       }
     }
-    if (usesLoadReports && random.nextDouble() < REPORT_REQUESTS_PER_MICRO * LOOK * requests.size()) {
+    if (usesLoadReports && random.nextDouble() < REPORT_REQUESTS_PER_MICRO * SCAN_INTERVAL_MICROS * requests.size()) {
       rotation.stream()
-          .filter(server -> server.connections > 0 && now - server.reportRequestedAt > FRESH / 2)
+          .filter(server -> server.connections > 0 && now - server.reportRequestedAt > LOAD_REPORT_TTL_MICROS / 2)
           .max(Comparator.comparing(server -> server.load * (now - server.reportedAt)))
           .ifPresent(server -> requestReport(now, server));
     }
@@ -975,11 +975,11 @@
       boolean keptProbe = server.dropsNewConnections && now >= server.probeKeptAt;
       server.dropsNewConnections &= !keptProbe;
       server.consecutiveFailures = keptProbe ? 0 : server.consecutiveFailures;
-      server.loadLimit *= overloadDelay(now, server) > 0 ? 1 : 1 + LOOK / LOAD_LIMIT_GROWTH_MICROS;
+      server.loadLimit *= overloadDelay(now, server) > 0 ? 1 : 1 + SCAN_INTERVAL_MICROS / LOAD_LIMIT_GROWTH_MICROS;
     }
     if (now >= nextSweepAt) {
-      nextSweepAt = now + SWEEP;
-      affinityEntries.values().removeIf(entry -> now - entry.lastUsed() >= TTL);
+      nextSweepAt = now + SWEEP_INTERVAL_MICROS;
+      affinityEntries.values().removeIf(entry -> now - entry.lastUsed() >= AFFINITY_TTL_MICROS);
       groups.values().forEach(group -> group.recentRequests *= GROUP_COUNT_DECAY);
       recentGroupedRequests *= GROUP_COUNT_DECAY;
       groups.values().removeIf(group -> group.recentRequests < 0.5);
--- a/proxy/src/main/java/amberhoist/directory/News.java
+++ b/proxy/src/main/java/amberhoist/directory/DirectoryUpdate.java
@@ -2,7 +2,7 @@
 
 import amberhoist.clock.Clock;
 import amberhoist.decide.Balancer.Server;
-import amberhoist.decide.Balancer.State;
+import amberhoist.decide.Balancer.ServerState;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -21,24 +21,24 @@
  * does not invalidate the others.
  *
  * @param index version of the list
- * @param whole whether the update has all providers, not only the changed ones
+ * @param snapshot whether the update has all providers, not only the changed ones
  * @param providers the entries that could be read
  * @param addresses address of each of these providers by its name; a provider that has left may have none
- * @param unread names of the providers whose entries could not be read
+ * @param unreadable names of the providers whose entries could not be read
  */
-public record News(long index, boolean whole, List<Server> providers,
-    Map<String, InetSocketAddress> addresses, Set<String> unread) {
+public record DirectoryUpdate(long index, boolean snapshot, List<Server> providers,
+    Map<String, InetSocketAddress> addresses, Set<String> unreadable) {
   private static final JsonFactory JSON_FACTORY = new JsonFactory();
-  private static final Map<String, State> STATES =
-      Map.of("active", State.READY, "leaving", State.DRAINING, "left", State.GONE);
+  private static final Map<String, ServerState> STATES =
+      Map.of("active", ServerState.READY, "leaving", ServerState.DRAINING, "left", ServerState.GONE);
   private static final Set<String> ENTRY_FIELDS =
       Set.of("name", "address", "zone", "type", "group", "status", "weight", "since_ms");
 
   /** Parses a text that contains exactly one update. */
-  public static News parse(byte[] text, Clock clock) throws IOException {
+  public static DirectoryUpdate parse(byte[] text, Clock clock) throws IOException {
     try (JsonParser json = JSON_FACTORY.createParser(text)) {
       json.nextToken();
-      News update = read(json, clock);
+      DirectoryUpdate update = read(json, clock);
       require(json.nextToken() == null, "more than one object");
       return update;
     } catch (IllegalArgumentException fault) {
@@ -47,7 +47,7 @@
   }
 
   /** Reads one update; the current token of the parser must be its opening brace. */
-  public static News read(JsonParser json, Clock clock) throws IOException {
+  public static DirectoryUpdate read(JsonParser json, Clock clock) throws IOException {
     require(json.currentToken() == JsonToken.START_OBJECT, "not an object");
     long index = -1;
     boolean whole = false;
@@ -74,7 +74,7 @@
     }
     require(json.currentToken() == JsonToken.END_OBJECT && index >= 0 && hasEndpoints,
         "incomplete object, or without index or endpoints");
-    return new News(index, whole, providers, addresses, unread);
+    return new DirectoryUpdate(index, whole, providers, addresses, unread);
   }
 
   private static void readEntry(JsonParser json, Clock clock, List<Server> providers,
@@ -84,7 +84,7 @@
     String zone = "";
     String type = null;
     int group = 0;
-    State state = null;
+    ServerState state = null;
     double weight = 0;
     long since = 0;
     boolean readable = true;
@@ -113,7 +113,7 @@
       }
     }
     require(name != null, "an endpoint has no name");
-    if (!readable || state == null || address == null && state != State.GONE) {
+    if (!readable || state == null || address == null && state != ServerState.GONE) {
       unread.add(name);
       return;
     }
--- a/proxy/src/main/java/amberhoist/directory/AddressBook.java
+++ b/proxy/src/main/java/amberhoist/directory/ProviderRegistry.java
@@ -1,7 +1,7 @@
 package amberhoist.directory;
 
 import amberhoist.decide.Balancer.Server;
-import amberhoist.decide.Balancer.State;
+import amberhoist.decide.Balancer.ServerState;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -10,40 +10,40 @@
 import java.util.TreeMap;
 
 /** The providers of the directory's latest update, and their addresses. Confined to the event loop's thread. */
-public final class AddressBook {
+public final class ProviderRegistry {
   private final Map<String, InetSocketAddress> addresses = new HashMap<>();
-  private final Map<String, Server> listed = new TreeMap<>();
+  private final Map<String, Server> listedProviders = new TreeMap<>();
 
   /**
    * Applies an update. A snapshot replaces all known providers, except those whose entry in it could not be read.
    *
    * @return the entries of the update; for a snapshot also the previous entries that are kept
    */
-  public List<Server> update(News update) {
+  public List<Server> update(DirectoryUpdate update) {
     List<Server> entries = new ArrayList<>(update.providers());
-    if (update.whole()) {
-      addresses.keySet().retainAll(update.unread());
-      listed.keySet().retainAll(update.unread());
-      entries.addAll(listed.values());
+    if (update.snapshot()) {
+      addresses.keySet().retainAll(update.unreadable());
+      listedProviders.keySet().retainAll(update.unreadable());
+      entries.addAll(listedProviders.values());
     }
     addresses.putAll(update.addresses());
     for (Server server : update.providers()) {
-      if (server.state() == State.GONE) {
-        listed.remove(server.name());
+      if (server.state() == ServerState.GONE) {
+        listedProviders.remove(server.name());
       } else {
-        listed.put(server.name(), server);
+        listedProviders.put(server.name(), server);
       }
     }
     return entries;
   }
 
   /** The address of a provider, or null if it is not known. */
-  public InetSocketAddress of(String provider) {
+  public InetSocketAddress addressOf(String provider) {
     return addresses.get(provider);
   }
 
   /** The providers that have not left, in order of their names. */
-  public List<Server> listed() {
-    return new ArrayList<>(listed.values());
+  public List<Server> listedProviders() {
+    return new ArrayList<>(listedProviders.values());
   }
 }
--- a/proxy/src/main/java/amberhoist/directory/WatchParser.java
+++ b/proxy/src/main/java/amberhoist/directory/WatchParser.java
@@ -37,7 +37,7 @@
   private boolean lineEmpty; // nothing yet on the current line of an object that spans several lines
 
   /** Consumes all bytes of the buffer; passes complete objects and empty lines on, without line ends. */
-  public void take(ByteBuffer bytes, Consumer<byte[]> lines) throws IOException {
+  public void feed(ByteBuffer bytes, Consumer<byte[]> lines) throws IOException {
     while (bytes.hasRemaining()) {
       if (state == State.CHUNK) {
         parseBody(bytes, lines);
@@ -56,7 +56,7 @@
   }
 
   /** Whether the response is complete. */
-  public boolean ended() {
+  public boolean isEnded() {
     return state == State.END;
   }
 
--- a/proxy/src/main/java/amberhoist/front/ClientSide.java
+++ b/proxy/src/main/java/amberhoist/front/ClientHandler.java
@@ -1,12 +1,12 @@
 package amberhoist.front;
 
 import amberhoist.net.Connection;
-import amberhoist.net.Handler;
+import amberhoist.net.ConnectionHandler;
 
 /** Handles a client's connection and sends it the core's answers in the client's protocol. */
-public interface ClientSide extends Handler {
+public interface ClientHandler extends ConnectionHandler {
   /** Answers with a rejection and closes; {@code retryAfter} in microseconds, 0 to send none. */
-  void reject(Connection client, long retryAfter);
+  void reject(Connection client, long retryAfterMicros);
 
   /** Answers that the invocation has failed, and closes. */
   void fail(Connection client);
--- a/proxy/src/main/java/amberhoist/front/Switchboard.java
+++ b/proxy/src/main/java/amberhoist/front/CommandDispatcher.java
@@ -8,14 +8,14 @@
 import java.util.function.Consumer;
 
 /** Dispatches the core's commands to the protocol handlers of the connections concerned. */
-public final class Switchboard implements Commands {
+public final class CommandDispatcher implements Commands {
   private final Transport transport;
-  private final ProviderSide providers;
+  private final ProviderHandler providers;
   private final Runnable ensureWatch;
   private final Consumer<String> log;
 
   /** Creates a dispatcher; {@code ensureWatch} starts the directory watch if needed, {@code log} logs a message. */
-  public Switchboard(Transport transport, ProviderSide providers, Runnable ensureWatch, Consumer<String> log) {
+  public CommandDispatcher(Transport transport, ProviderHandler providers, Runnable ensureWatch, Consumer<String> log) {
     this.transport = transport;
     this.providers = providers;
     this.ensureWatch = ensureWatch;
@@ -23,32 +23,32 @@
   }
 
   @Override
-  public long dial(long invocationId, long clientId, String provider) {
+  public long connect(long invocationId, long clientId, String provider) {
     Connection client = transport.get(clientId);
-    return client == null ? SlotTable.NONE : providers.dial(invocationId, client, provider);
+    return client == null ? SlotTable.NONE : providers.connect(invocationId, client, provider);
   }
 
   @Override
-  public void forward(long providerId, long millis) {
-    transport.on(providerId, provider -> providers.forward(provider, millis));
+  public void forwardOpenRequest(long providerId, long millis) {
+    transport.ifPresent(providerId, provider -> providers.forward(provider, millis));
   }
 
   @Override
   public void abandon(long providerId) {
-    transport.on(providerId, transport::drop);
+    transport.ifPresent(providerId, transport::closeNow);
   }
 
   @Override
-  public void join(long clientId, long providerId) {
+  public void relay(long clientId, long providerId) {
     Connection client = transport.get(clientId);
     Connection provider = transport.get(providerId);
     if (client != null && provider != null) {
-      transport.join(client, provider);
+      transport.relay(client, provider);
     }
   }
 
-  private void onClient(long id, BiConsumer<ClientSide, Connection> command) {
-    transport.on(id, client -> command.accept((ClientSide) client.handler(), client));
+  private void onClient(long id, BiConsumer<ClientHandler, Connection> command) {
+    transport.ifPresent(id, client -> command.accept((ClientHandler) client.handler(), client));
   }
 
   @Override
@@ -58,21 +58,21 @@
 
   @Override
   public void fail(long clientId) {
-    onClient(clientId, ClientSide::fail);
+    onClient(clientId, ClientHandler::fail);
   }
 
   @Override
   public void move(long clientId) {
-    onClient(clientId, ClientSide::move);
+    onClient(clientId, ClientHandler::move);
   }
 
   @Override
-  public void ask(String provider) {
-    providers.ask(provider);
+  public void requestLoadReport(String provider) {
+    providers.requestLoadReport(provider);
   }
 
   @Override
-  public void watch() {
+  public void watchDirectory() {
     ensureWatch.run();
   }
 
--- a/proxy/src/main/java/amberhoist/front/Front.java
+++ b/proxy/src/main/java/amberhoist/front/Front.java
@@ -7,12 +7,12 @@
  * a front and the core.
  */
 public interface Front {
-  /** Takes over an accepted connection: sets a {@link ClientSide} as its handler and starts to read. */
-  void accepted(AsynchronousSocketChannel channel);
+  /** Takes over an accepted connection: sets a {@link ClientHandler} as its handler and starts to read. */
+  void onAccepted(AsynchronousSocketChannel channel);
 
   /**
    * Called when the proxy stops. Rejects clients that have not sent their open request yet, and those accepted from now
    * on, with {@code retryAfter} in microseconds; an open request already on its way is thereby answered.
    */
-  void leave(long retryAfter);
+  void rejectNewClients(long retryAfterMicros);
 }
--- a/proxy/src/main/java/amberhoist/front/line/LineClients.java
+++ b/proxy/src/main/java/amberhoist/front/line/LineClientHandler.java
@@ -1,17 +1,17 @@
 package amberhoist.front.line;
 
 import amberhoist.core.Core;
-import amberhoist.front.ClientSide;
+import amberhoist.front.ClientHandler;
 import amberhoist.front.Front;
 import amberhoist.log.Event;
 import amberhoist.log.EventLog;
 import amberhoist.metrics.Counters;
 import amberhoist.metrics.Counters.Count;
-import amberhoist.metrics.Outcomes.Outcome;
+import amberhoist.metrics.SetupOutcomes.Outcome;
 import amberhoist.net.Connection;
 import amberhoist.net.Connection.Role;
 import amberhoist.net.DescriptorBudget;
-import amberhoist.net.Loop;
+import amberhoist.net.EventLoop;
 import amberhoist.net.Transport;
 import java.io.IOException;
 import java.nio.channels.AsynchronousSocketChannel;
@@ -20,17 +20,17 @@
 import java.util.function.Consumer;
 
 /** Speaks the line protocol with clients: the first line, the lines relayed after it, and the final answer. */
-public final class LineClients implements Front, ClientSide {
-  private static final byte[] PONG = Lines.ascii("PONG\r\n");
-  private static final byte[] ERR = Lines.ascii("ERR\r\n");
-  private static final byte[] MOVE = Lines.ascii("MOVE\r\n");
+public final class LineClientHandler implements Front, ClientHandler {
+  private static final byte[] PONG = Lines.encode("PONG\r\n");
+  private static final byte[] ERR = Lines.encode("ERR\r\n");
+  private static final byte[] MOVE = Lines.encode("MOVE\r\n");
 
-  /** State of a client before its open request; the {@link Opening} replaces it as the attachment. */
+  /** State of a client before its open request; the {@link OpenRequest} replaces it as the attachment. */
   private static final class PendingClient {
     int pings;
   }
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Transport transport;
   private final DescriptorBudget descriptors;
   private final Counters counters;
@@ -43,8 +43,8 @@
   private boolean stopping;
   private long stopRetryAfterMicros;
 
-  /** Creates a front for clients on this transport; {@link #wire} must be called before the first client. */
-  public LineClients(Loop loop, Transport transport, DescriptorBudget descriptors, Counters counters,
+  /** Creates a front for clients on this transport; {@link #setCore} must be called before the first client. */
+  public LineClientHandler(EventLoop loop, Transport transport, DescriptorBudget descriptors, Counters counters,
       EventLog log) {
     this.loop = loop;
     this.transport = transport;
@@ -54,7 +54,7 @@
   }
 
   /** Sets the core that handles invocations. */
-  public void wire(Core newCore) {
+  public void setCore(Core newCore) {
     core = newCore;
   }
 
@@ -65,15 +65,15 @@
   }
 
   @Override
-  public void accepted(AsynchronousSocketChannel channel) {
-    Connection client = transport.accepted(channel, this);
+  public void onAccepted(AsynchronousSocketChannel channel) {
+    Connection client = transport.registerAccepted(channel, this);
     client.attach(new PendingClient());
     if (stopping) {
       reject(client, stopRetryAfterMicros);
       return;
     }
     client.timer(
-        loop.wheel().arm(loop.now() + limits.firstLine(), now -> onFirstLineTimeout(client)));
+        loop.timerWheel().arm(loop.now() + limits.firstLineTimeoutMicros(), now -> onFirstLineTimeout(client)));
     transport.read(client);
   }
 
@@ -83,102 +83,102 @@
    */
   private void onFirstLineTimeout(Connection client) {
     answerMalformed(client, "no complete first line within the timeout",
-        client.pending() > 0 ? ERR : Lines.rejection(0));
+        client.bufferedBytes() > 0 ? ERR : Lines.busyLine(0));
   }
 
   @Override
-  public void leave(long retryAfter) {
+  public void rejectNewClients(long retryAfter) {
     stopping = true;
     stopRetryAfterMicros = retryAfter;
-    transport.forEach(Role.NEW, client -> reject(client, retryAfter));
+    transport.forEach(Role.PENDING_CLIENT, client -> reject(client, retryAfter));
   }
 
   /** Closes a connection that is owed no answer, to free its descriptor; a client that has sent nothing is rejected. */
   public void evict(Connection client) {
-    counters.add(Count.EVICTED);
-    log.tell(Event.CLIENT_EVICTED, "descriptors run short", "peer", client);
-    if (client.role() == Role.NEW && client.pending() == 0) {
-      transport.send(client, Lines.rejection(limits.crowdedAdvice()));
+    counters.increment(Count.EVICTED);
+    log.log(Event.CLIENT_EVICTED, "descriptors run short", "peer", client);
+    if (client.role() == Role.PENDING_CLIENT && client.bufferedBytes() == 0) {
+      transport.send(client, Lines.busyLine(limits.shortageRetryAfterMicros()));
     }
-    transport.drop(client);
+    transport.closeNow(client);
   }
 
   @Override
-  public void input(Connection client) {
-    if (client.role() == Role.CLIENT && !client.joined()) {
+  public void onInput(Connection client) {
+    if (client.role() == Role.CLIENT && !client.relaying()) {
       // A client must wait for the answer after its first line; no provider would receive further lines.
       failMalformed(client, "lines before the answer to the first one");
-      core.clientFailed(loop.now(), client.invocation());
+      core.onClientFailed(loop.now(), client.invocationId());
       return;
     }
     try {
-      while (!client.finishing() && transport.holds(client)
-          && (client.role() == Role.NEW || client.joined())) {
-        byte[] line = client.line(Opening.LONGEST);
+      while (!client.finishing() && transport.contains(client)
+          && (client.role() == Role.PENDING_CLIENT || client.relaying())) {
+        byte[] line = client.pollLine(OpenRequest.MAX_LINE_BYTES);
         if (line == null) {
           return;
         }
-        if (client.role() == Role.NEW) {
+        if (client.role() == Role.PENDING_CLIENT) {
           onFirstLine(client, line);
         } else {
           relayLine(client, line);
         }
       }
     } catch (IOException lineTooLong) {
-      if (client.role() == Role.NEW) {
+      if (client.role() == Role.PENDING_CLIENT) {
         failMalformed(client, "first line exceeds the maximum length");
       } else {
-        transport.broken(client);
+        transport.onBroken(client);
       }
     }
   }
 
   private void onFirstLine(Connection client, byte[] line) {
-    String text = Lines.text(line);
+    String text = Lines.withoutLineEnd(line);
     if (text == null) {
       failMalformed(client, "line does not end in CRLF");
     } else if (text.equals("PING")) {
-      counters.add(Count.PINGED);
-      if (++((PendingClient) client.attachment()).pings > limits.pings()) {
+      counters.increment(Count.PINGED);
+      if (++((PendingClient) client.attachment()).pings > limits.maxPings()) {
         failMalformed(client, "too many PINGs");
       } else {
         transport.send(client, PONG);
       }
     } else {
       try {
-        onOpenRequest(client, Opening.parse(text));
-      } catch (MalformedLine fault) {
+        onOpenRequest(client, OpenRequest.parse(text));
+      } catch (MalformedLineException fault) {
         failMalformed(client, fault.getMessage());
       }
     }
   }
 
-  private void onOpenRequest(Connection client, Opening request) {
-    if (client.pending() > 0 || connectionIds.containsKey(request.id())) {
+  private void onOpenRequest(Connection client, OpenRequest request) {
+    if (client.bufferedBytes() > 0 || connectionIds.containsKey(request.id())) {
       failMalformed(client,
-          client.pending() > 0 ? "lines before the answer to the first one" : "id is already in use");
+          client.bufferedBytes() > 0 ? "lines before the answer to the first one" : "id is already in use");
       return;
     }
     client.timer(null);
     client.attach(request);
-    transport.taken(client);
-    connectionIds.put(request.id(), client.number());
-    if (!descriptors.room(0) || descriptors.crowded() && request.provider() == null) {
-      counters.add(Count.CROWDED_OUT);
-      counters.outcomes().taken(request.type());
-      counters.outcomes().ended(request.type(), Outcome.REFUSED);
-      log.tell(Event.CLIENT_CROWDED_OUT, "descriptors run short", "peer", client);
-      reject(client, limits.crowdedAdvice()); // a provider connection would use the last descriptors
+    transport.markAsClient(client);
+    connectionIds.put(request.id(), client.id());
+    if (!descriptors.makeRoom(0) || descriptors.isNearlyExhausted() && request.establishedProvider() == null) {
+      counters.increment(Count.CROWDED_OUT);
+      counters.setupOutcomes().countRequested(request.type());
+      counters.setupOutcomes().countEnded(request.type(), Outcome.REFUSED);
+      log.log(Event.CLIENT_CROWDED_OUT, "descriptors run short", "peer", client);
+      reject(client, limits.shortageRetryAfterMicros()); // a provider connection would use the last descriptors
       return;
     }
     long arrived = loop.now();
     // Queued behind input already received, so that pending directory updates reach the balancer first.
     loop.post(() -> {
-      if (transport.holds(client) && !client.finishing()) {
-        client.invocation(core.invocation(arrived, client.number(), request.arrival()));
+      if (transport.contains(client) && !client.finishing()) {
+        client.invocationId(core.onInvocation(arrived, client.id(), request.toArrival()));
       } else {
-        counters.outcomes().taken(request.type()); // the client disconnected or was answered meanwhile
-        counters.outcomes().ended(request.type(), Outcome.REFUSED);
+        counters.setupOutcomes().countRequested(request.type()); // the client disconnected or was answered meanwhile
+        counters.setupOutcomes().countEnded(request.type(), Outcome.REFUSED);
       }
     });
   }
@@ -188,54 +188,54 @@
   }
 
   private void answerMalformed(Connection client, String reason, byte[] answer) {
-    counters.add(Count.MALFORMED);
-    log.tell(Event.CLIENT_MALFORMED, reason, "peer", client);
-    client.linger(limits.badLinger());
+    counters.increment(Count.MALFORMED);
+    log.log(Event.CLIENT_MALFORMED, reason, "peer", client);
+    client.lingerMicros(limits.malformedLingerMicros());
     answerAndFinish(client, answer);
   }
 
   private void relayLine(Connection client, byte[] line) {
-    Connection provider = transport.get(client.peer());
+    Connection provider = transport.get(client.peerId());
     if (provider != null) {
-      counters.add(Count.LINES_TO_PROVIDERS);
-      core.asked(loop.now(), client.invocation(), client.peer());
+      counters.increment(Count.LINES_TO_PROVIDERS);
+      core.onClientLine(loop.now(), client.invocationId(), client.peerId());
       transport.send(provider, line);
     }
   }
 
   @Override
-  public void inputEnded(Connection client) {
+  public void onInputEnded(Connection client) {
     end(client, transport::finish, false);
   }
 
   @Override
-  public void broken(Connection client) {
+  public void onBroken(Connection client) {
     end(client, transport::reset, true);
   }
 
   /** Handles the end of a client connection: ends its provider in the same way and notifies the core. */
   private void end(Connection client, Consumer<Connection> close, boolean reset) {
-    if (client.role() == Role.NEW) {
-      if (!reset && client.pending() > 0) {
+    if (client.role() == Role.PENDING_CLIENT) {
+      if (!reset && client.bufferedBytes() > 0) {
         failMalformed(client, "connection ended within the first line");
       }
       close.accept(client);
       return;
     }
-    Connection provider = transport.get(client.peer());
-    if (client.joined() && provider != null) {
+    Connection provider = transport.get(client.peerId());
+    if (client.relaying() && provider != null) {
       close.accept(provider);
     } else if (!reset) {
       transport.send(client, ERR); // it may have ended only its sending side; an attempt may have run
     }
     close.accept(client);
-    core.clientLeft(loop.now(), client.invocation());
+    core.onClientDisconnected(loop.now(), client.invocationId());
   }
 
   @Override
-  public void released(Connection client) {
-    if (client.attachment() instanceof Opening request) {
-      connectionIds.remove(request.id(), client.number());
+  public void onReleased(Connection client) {
+    if (client.attachment() instanceof OpenRequest request) {
+      connectionIds.remove(request.id(), client.id());
     }
   }
 
@@ -246,7 +246,7 @@
 
   @Override
   public void reject(Connection client, long retryAfter) {
-    answerAndFinish(client, Lines.rejection(Math.min(retryAfter, maxRetryAfterMicros)));
+    answerAndFinish(client, Lines.busyLine(Math.min(retryAfter, maxRetryAfterMicros)));
   }
 
   @Override
@@ -256,7 +256,7 @@
 
   @Override
   public void move(Connection client) {
-    transport.on(client.peer(), transport::finish);
+    transport.ifPresent(client.peerId(), transport::finish);
     answerAndFinish(client, MOVE);
   }
 }
--- a/proxy/src/main/java/amberhoist/front/line/LineProviders.java
+++ b/proxy/src/main/java/amberhoist/front/line/LineProviderHandler.java
@@ -3,12 +3,12 @@
 import amberhoist.core.Core;
 import amberhoist.core.SlotTable;
 import amberhoist.decide.Balancer.Outcome;
-import amberhoist.directory.AddressBook;
-import amberhoist.front.ProviderSide;
+import amberhoist.directory.ProviderRegistry;
+import amberhoist.front.ProviderHandler;
 import amberhoist.metrics.Counters;
 import amberhoist.metrics.Counters.Count;
 import amberhoist.net.Connection;
-import amberhoist.net.Loop;
+import amberhoist.net.EventLoop;
 import amberhoist.net.Transport;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -16,54 +16,54 @@
 import java.util.function.Consumer;
 
 /** Speaks the line protocol with providers: the forwarded first line, the answer to it, and the lines after that. */
-public final class LineProviders implements ProviderSide {
+public final class LineProviderHandler implements ProviderHandler {
   /** The state of one connection to a provider. */
   private static final class ProviderSession {
-    final Opening request;
+    final OpenRequest request;
     /** The outcome that the closing line of the provider announced, null until there is one. */
     Outcome closingOutcome;
 
-    ProviderSession(Opening request) {
+    ProviderSession(OpenRequest request) {
       this.request = request;
     }
   }
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Transport transport;
   private final Counters counters;
-  private final AddressBook registry;
+  private final ProviderRegistry registry;
   private final BiConsumer<String, Throwable> onConnectFailed;
-  private final LineReports reports;
+  private final LoadReportFetcher reports;
   private Core core;
 
   /** Creates a handler; {@code onConnectFailed} is called with a provider if no socket to it could be opened. */
-  public LineProviders(Loop loop, Transport transport, Counters counters, AddressBook registry,
+  public LineProviderHandler(EventLoop loop, Transport transport, Counters counters, ProviderRegistry registry,
       BiConsumer<String, Throwable> onConnectFailed) {
     this.loop = loop;
     this.transport = transport;
     this.counters = counters;
     this.registry = registry;
     this.onConnectFailed = onConnectFailed;
-    reports = new LineReports(loop, transport, registry);
+    reports = new LoadReportFetcher(loop, transport, registry);
   }
 
   /** Sets the core to notify of events; must be called before the first connection. */
-  public void wire(Core newCore) {
+  public void setCore(Core newCore) {
     core = newCore;
-    reports.wire(newCore);
+    reports.setCore(newCore);
   }
 
   @Override
-  public long dial(long invocation, Connection client, String provider) {
-    InetSocketAddress address = registry.of(provider);
+  public long connect(long invocation, Connection client, String provider) {
+    InetSocketAddress address = registry.addressOf(provider);
     if (address == null) {
       return SlotTable.NONE;
     }
-    ProviderSession session = new ProviderSession((Opening) client.attachment());
+    ProviderSession session = new ProviderSession((OpenRequest) client.attachment());
     try {
-      Connection connection = transport.dial(address, invocation, client, this);
+      Connection connection = transport.connect(address, invocation, client, this);
       connection.attach(session);
-      return connection.number();
+      return connection.id();
     } catch (IOException fault) {
       onConnectFailed.accept(provider, fault);
       return SlotTable.NONE;
@@ -71,62 +71,62 @@
   }
 
   @Override
-  public void ask(String provider) {
-    reports.ask(provider);
+  public void requestLoadReport(String provider) {
+    reports.fetch(provider);
   }
 
   @Override
-  public void connected(Connection provider) {
-    core.connected(loop.now(), provider.invocation(), provider.number());
+  public void onConnected(Connection provider) {
+    core.onConnected(loop.now(), provider.invocationId(), provider.id());
   }
 
   @Override
   public void forward(Connection provider, long millis) {
-    transport.send(provider, ((ProviderSession) provider.attachment()).request.forward(millis),
-        () -> core.written(loop.now(), provider.invocation(), provider.number()));
+    transport.send(provider, ((ProviderSession) provider.attachment()).request.forwardedLine(millis),
+        () -> core.onOpenRequestWritten(loop.now(), provider.invocationId(), provider.id()));
     transport.read(provider);
   }
 
   @Override
-  public void input(Connection provider) {
+  public void onInput(Connection provider) {
     try {
-      while (!provider.finishing() && transport.holds(provider)) {
-        byte[] line = provider.line(Opening.LONGEST);
+      while (!provider.finishing() && transport.contains(provider)) {
+        byte[] line = provider.pollLine(OpenRequest.MAX_LINE_BYTES);
         if (line == null) {
           return;
         }
-        String text = Lines.text(line);
-        ProviderLine kind = text == null ? ProviderLine.OTHER : ProviderLine.of(text);
-        if (provider.joined()) {
+        String text = Lines.withoutLineEnd(line);
+        ProviderLine kind = text == null ? ProviderLine.OTHER : ProviderLine.parse(text);
+        if (provider.relaying()) {
           relayLine(provider, kind, text, line);
         } else {
           onAnswer(provider, kind, line);
         }
       }
     } catch (IOException lineTooLong) {
-      transport.broken(provider);
+      transport.onBroken(provider);
     }
   }
 
   private void relayLine(Connection provider, ProviderLine kind, String text, byte[] line) {
     if (kind != ProviderLine.LOAD) {
       // LOAD is no sign of life: a hung provider may still send it
-      core.returned(loop.now(), provider.invocation(), provider.number());
+      core.onProviderLine(loop.now(), provider.invocationId(), provider.id());
     }
     switch (kind) {
       case LOAD -> {
-        double load = ProviderLine.load(text);
+        double load = ProviderLine.parseLoad(text);
         if (!Double.isNaN(load)) {
-          core.load(loop.now(), provider.invocation(), provider.number(), load);
+          core.onLoadLine(loop.now(), provider.invocationId(), provider.id(), load);
         }
       }
       case BYE -> ((ProviderSession) provider.attachment()).closingOutcome = Outcome.SERVED;
       case MOVE -> ((ProviderSession) provider.attachment()).closingOutcome = Outcome.CANCELLED;
       default -> { }
     }
-    Connection client = transport.get(provider.peer());
+    Connection client = transport.get(provider.peerId());
     if (client != null) {
-      counters.add(Count.LINES_TO_CLIENTS);
+      counters.increment(Count.LINES_TO_CLIENTS);
       transport.send(client, line);
     }
   }
@@ -140,41 +140,41 @@
         case MOVE -> Outcome.CANCELLED;
         default -> Outcome.ERROR;
       };
-      core.callEnded(loop.now(), provider.invocation(), provider.number(), outcome);
+      core.onAttemptFailed(loop.now(), provider.invocationId(), provider.id(), outcome);
       return;
     }
-    core.up(loop.now(), provider.invocation(), provider.number());
-    Connection client = transport.get(provider.peer());
-    if (provider.joined() && client != null) {
+    core.onUp(loop.now(), provider.invocationId(), provider.id());
+    Connection client = transport.get(provider.peerId());
+    if (provider.relaying() && client != null) {
       transport.send(client, line);
       transport.read(client);
     }
   }
 
   @Override
-  public void inputEnded(Connection provider) {
+  public void onInputEnded(Connection provider) {
     end(provider, transport::finish);
   }
 
   @Override
-  public void broken(Connection provider) {
+  public void onBroken(Connection provider) {
     end(provider, transport::reset);
   }
 
   /** Handles the end of a provider connection: ends its client in the same way and notifies the core. */
   private void end(Connection provider, Consumer<Connection> close) {
-    boolean wasRelaying = provider.joined();
-    Connection client = transport.get(provider.peer());
+    boolean wasRelaying = provider.relaying();
+    Connection client = transport.get(provider.peerId());
     if (wasRelaying && client != null) {
       close.accept(client);
     }
     close.accept(provider);
     if (wasRelaying) {
       Outcome closingOutcome = ((ProviderSession) provider.attachment()).closingOutcome;
-      core.ended(loop.now(), provider.invocation(), provider.number(),
+      core.onConnectionEnded(loop.now(), provider.invocationId(), provider.id(),
           closingOutcome == null ? Outcome.RESET : closingOutcome);
     } else {
-      core.callEnded(loop.now(), provider.invocation(), provider.number(), Outcome.RESET);
+      core.onAttemptFailed(loop.now(), provider.invocationId(), provider.id(), Outcome.RESET);
     }
   }
 }
--- a/proxy/src/main/java/amberhoist/front/line/Lines.java
+++ b/proxy/src/main/java/amberhoist/front/line/Lines.java
@@ -7,18 +7,18 @@
   private Lines() {}
 
   /** The text of a line without its CRLF, or null if it does not end in CRLF. */
-  static String text(byte[] line) {
+  static String withoutLineEnd(byte[] line) {
     boolean endsInCrLf = line.length >= 2 && line[line.length - 2] == '\r';
     return endsInCrLf ? new String(line, 0, line.length - 2, StandardCharsets.ISO_8859_1) : null;
   }
 
-  static byte[] ascii(String text) {
+  static byte[] encode(String text) {
     return text.getBytes(StandardCharsets.ISO_8859_1);
   }
 
   /** The BUSY line for a retry-after in microseconds, rounded up to milliseconds; 0 sends none. */
-  static byte[] rejection(long retryAfter) {
-    long millis = (retryAfter + 999) / 1000;
-    return ascii(millis > 0 ? "BUSY " + millis + "\r\n" : "BUSY\r\n");
+  static byte[] busyLine(long retryAfterMicros) {
+    long millis = (retryAfterMicros + 999) / 1000;
+    return encode(millis > 0 ? "BUSY " + millis + "\r\n" : "BUSY\r\n");
   }
 }
--- a/proxy/src/main/java/amberhoist/front/line/LineReports.java
+++ b/proxy/src/main/java/amberhoist/front/line/LoadReportFetcher.java
@@ -1,10 +1,10 @@
 package amberhoist.front.line;
 
 import amberhoist.core.Core;
-import amberhoist.directory.AddressBook;
+import amberhoist.directory.ProviderRegistry;
 import amberhoist.net.Connection;
-import amberhoist.net.Handler;
-import amberhoist.net.Loop;
+import amberhoist.net.ConnectionHandler;
+import amberhoist.net.EventLoop;
 import amberhoist.net.Transport;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -14,69 +14,69 @@
  * {@code PONG} and the report. Any fault closes that connection; the decision module then gets no report, and nothing
  * else is affected.
  */
-final class LineReports implements Handler {
-  private static final byte[] STATS_REQUEST = Lines.ascii("STATS\r\n");
+final class LoadReportFetcher implements ConnectionHandler {
+  private static final byte[] STATS_REQUEST = Lines.encode("STATS\r\n");
   private static final String ANSWER_PREFIX = "PONG ";
   private static final String UTILIZATION_FIELD = "x0=";
   private static final long TIMEOUT_MICROS = 500_000; // a later report would be out of date
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Transport transport;
-  private final AddressBook registry;
+  private final ProviderRegistry registry;
   private Core core;
 
-  LineReports(Loop loop, Transport transport, AddressBook registry) {
+  LoadReportFetcher(EventLoop loop, Transport transport, ProviderRegistry registry) {
     this.loop = loop;
     this.transport = transport;
     this.registry = registry;
   }
 
-  void wire(Core newCore) {
+  void setCore(Core newCore) {
     core = newCore;
   }
 
   /** Requests a report from a provider; does nothing if its address is not known or no socket can be opened. */
-  void ask(String provider) {
-    InetSocketAddress address = registry.of(provider);
+  void fetch(String provider) {
+    InetSocketAddress address = registry.addressOf(provider);
     if (address == null) {
       return;
     }
     try {
-      Connection connection = transport.dial(address, this);
+      Connection connection = transport.connect(address, this);
       connection.attach(provider);
       connection.timer(
-          loop.wheel().arm(loop.now() + TIMEOUT_MICROS, now -> loop.run(() -> transport.drop(connection))));
+          loop.timerWheel().arm(loop.now() + TIMEOUT_MICROS, now -> loop.run(() -> transport.closeNow(connection))));
     } catch (IOException fault) {
       // the next request may succeed
     }
   }
 
   @Override
-  public void connected(Connection connection) {
+  public void onConnected(Connection connection) {
     transport.send(connection, STATS_REQUEST);
     transport.read(connection);
   }
 
   @Override
-  public void input(Connection connection) {
+  public void onInput(Connection connection) {
     byte[] line;
     try {
-      line = connection.line(Opening.LONGEST);
+      line = connection.pollLine(OpenRequest.MAX_LINE_BYTES);
     } catch (IOException lineTooLong) {
-      transport.drop(connection);
+      transport.closeNow(connection);
       return;
     }
     if (line != null) {
-      double utilization = heat(Lines.text(line));
-      transport.drop(connection);
+      double utilization = parseUtilization(Lines.withoutLineEnd(line));
+      transport.closeNow(connection);
       if (!Double.isNaN(utilization)) {
-        core.report(loop.now(), (String) connection.attachment(), utilization);
+        core.onLoadReport(loop.now(), (String) connection.attachment(), utilization);
       }
     }
   }
 
   /** The utilization (demand over capacity) in an answer without its CRLF; NaN if it is missing or invalid. */
-  static double heat(String answer) {
+  static double parseUtilization(String answer) {
     if (answer == null || !answer.startsWith(ANSWER_PREFIX)) {
       return Double.NaN;
     }
@@ -94,12 +94,12 @@
   }
 
   @Override
-  public void inputEnded(Connection connection) {
-    transport.drop(connection);
+  public void onInputEnded(Connection connection) {
+    transport.closeNow(connection);
   }
 
   @Override
-  public void broken(Connection connection) {
-    transport.drop(connection);
+  public void onBroken(Connection connection) {
+    transport.closeNow(connection);
   }
 }
--- a/proxy/src/main/java/amberhoist/front/line/MalformedLine.java
+++ b/proxy/src/main/java/amberhoist/front/line/MalformedLineException.java
@@ -1,10 +1,10 @@
 package amberhoist.front.line;
 
 /** Thrown for a line that violates the platform's protocol. */
-public final class MalformedLine extends Exception {
+public final class MalformedLineException extends Exception {
   private static final long serialVersionUID = 1;
 
-  MalformedLine(String message) {
+  MalformedLineException(String message) {
     super(message, null, false, false);
   }
 }
--- a/proxy/src/main/java/amberhoist/front/line/Opening.java
+++ b/proxy/src/main/java/amberhoist/front/line/OpenRequest.java
@@ -1,6 +1,6 @@
 package amberhoist.front.line;
 
-import amberhoist.core.Arrival;
+import amberhoist.core.InvocationRequest;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
@@ -15,19 +15,19 @@
  * @param tenant account, field {@code t}; null if absent
  * @param group the client or the group that it belongs to, field {@code g}; null if absent
  * @param waitMillis milliseconds that the client waits for UP, field {@code d}
- * @param hint the client's estimate of the load in microseconds per second, field {@code h}; 0 if absent
- * @param retry whether the client marked the request as a retry, field {@code r}
- * @param returning whether the client's previous connection was moved or broke, field {@code again}
- * @param provider provider of a connection that is established already, field {@code at}; null if absent
- * @param text the line without its CRLF
- * @param waitFrom index in the text at which the value of {@code d} begins
- * @param waitTo index in the text after the value of {@code d}
+ * @param loadHint the client's estimate of the load in microseconds per second, field {@code h}; 0 if absent
+ * @param isRetry whether the client marked the request as a retry, field {@code r}
+ * @param isReturning whether the client's previous connection was moved or broke, field {@code again}
+ * @param establishedProvider provider of a connection that is established already, field {@code at}; null if absent
+ * @param originalLine the line without its CRLF
+ * @param waitStart index in the text at which the value of {@code d} begins
+ * @param waitEnd index in the text after the value of {@code d}
  */
-public record Opening(String id, String key, String type, String tenant, String group, long waitMillis,
-    double hint, boolean retry, boolean returning, String provider, String text,
-    int waitFrom, int waitTo) {
+public record OpenRequest(String id, String key, String type, String tenant, String group, long waitMillis,
+    double loadHint, boolean isRetry, boolean isReturning, String establishedProvider, String originalLine,
+    int waitStart, int waitEnd) {
   /** Maximum length of a line of the protocol in bytes, line end included. */
-  public static final int LONGEST = 4096;
+  public static final int MAX_LINE_BYTES = 4096;
 
   private static final String OPEN_PREFIX = "OPEN ";
   private static final int MAX_WAIT_MILLIS = 60_000; // no deployment lets clients wait longer for a new connection
@@ -35,7 +35,7 @@
   private static final double MAX_LOAD_HINT = 1e9; // microseconds per second, as of a thousand cores
 
   /** Parses a first line, given without its CRLF. */
-  public static Opening parse(String line) throws MalformedLine {
+  public static OpenRequest parse(String line) throws MalformedLineException {
     for (int i = 0; i < line.length(); i++) {
       require(line.charAt(i) >= ' ' && line.charAt(i) < 0x7f, "character is not printable ASCII");
     }
@@ -63,32 +63,33 @@
     require(waitFrom >= 0, "field d is missing");
     String waitValue = values.get("d");
     require(parseWaitMillis(waitValue) <= MAX_WAIT_MILLIS || values.containsKey("at"), "field d exceeds the maximum");
-    return new Opening(line.substring(OPEN_PREFIX.length(), idEnd), line.substring(idEnd + 1, keyEnd),
+    return new OpenRequest(line.substring(OPEN_PREFIX.length(), idEnd), line.substring(idEnd + 1, keyEnd),
         values.get("c"), values.get("t"), values.get("g"),
         parseWaitMillis(waitValue), parseLoadHint(values.get("h")), "1".equals(values.get("r")),
         "1".equals(values.get("again")), values.get("at"), line, waitFrom, waitFrom + waitValue.length());
   }
 
   /** The arrival that the core handles for this request. */
-  public Arrival arrival() {
-    return new Arrival(type, tenant, key, group, waitMillis, hint, retry, returning, provider);
+  public InvocationRequest toArrival() {
+    return new InvocationRequest(type, tenant, key, group, waitMillis, loadHint, isRetry, isReturning,
+        establishedProvider);
   }
 
   /** The line to forward to a provider, CRLF included, with the milliseconds that the proxy will wait as {@code d}. */
-  public byte[] forward(long proxyWaitMillis) {
+  public byte[] forwardedLine(long proxyWaitMillis) {
     String forwarded =
-        text.substring(0, waitFrom) + proxyWaitMillis + text.substring(waitTo) + "\r\n";
+        originalLine.substring(0, waitStart) + proxyWaitMillis + originalLine.substring(waitEnd) + "\r\n";
     return forwarded.getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  private static long parseWaitMillis(String text) throws MalformedLine {
+  private static long parseWaitMillis(String text) throws MalformedLineException {
     boolean isWholeNumber = !text.isEmpty() && text.length() <= MAX_WAIT_DIGITS
         && text.chars().allMatch(c -> c >= '0' && c <= '9');
     require(isWholeNumber, "field d is not a whole number");
     return Long.parseLong(text);
   }
 
-  private static double parseLoadHint(String text) throws MalformedLine {
+  private static double parseLoadHint(String text) throws MalformedLineException {
     if (text == null) {
       return 0;
     }
@@ -97,13 +98,13 @@
       require(value >= 0 && value <= MAX_LOAD_HINT, "field h is out of range");
       return value;
     } catch (NumberFormatException fault) {
-      throw new MalformedLine("field h is not a number");
+      throw new MalformedLineException("field h is not a number");
     }
   }
 
-  private static void require(boolean condition, String reason) throws MalformedLine {
+  private static void require(boolean condition, String reason) throws MalformedLineException {
     if (!condition) {
-      throw new MalformedLine(reason);
+      throw new MalformedLineException(reason);
     }
   }
 }
--- a/proxy/src/main/java/amberhoist/front/line/ProviderLine.java
+++ b/proxy/src/main/java/amberhoist/front/line/ProviderLine.java
@@ -18,7 +18,7 @@
   OTHER;
 
   /** Determines the kind of a line, given without its CRLF, from its first word. */
-  public static ProviderLine of(String line) {
+  public static ProviderLine parse(String line) {
     int space = line.indexOf(' ');
     String verb = space < 0 ? line : line.substring(0, space);
     return switch (verb) {
@@ -33,7 +33,7 @@
   }
 
   /** The value of a LOAD line, or NaN if it is missing, negative, infinite or not a number. */
-  public static double load(String line) {
+  public static double parseLoad(String line) {
     try {
       double value = Double.parseDouble(line.substring("LOAD".length()).trim());
       return value >= 0 && value < Double.POSITIVE_INFINITY ? value : Double.NaN;
--- a/proxy/src/main/java/amberhoist/log/BoundedOutput.java
+++ b/proxy/src/main/java/amberhoist/log/BoundedOutputStream.java
@@ -10,14 +10,14 @@
  * standard error that stops reading would block the event loop on a full pipe. A write that does not fit into the queue
  * is dropped as a whole and counted; the number of drops is reported once there is room again.
  */
-public final class BoundedOutput extends OutputStream {
+public final class BoundedOutputStream extends OutputStream {
   private final OutputStream target;
   private final ArrayDeque<byte[]> queue = new ArrayDeque<>();
   private final LongConsumer dropListener;
   private int maxQueuedBytes;
   private int queuedBytes;
   private boolean writing;
-  private long dropped;
+  private long droppedWrites;
   private long unreportedDrops;
 
   /**
@@ -25,7 +25,7 @@
    *
    * @param dropListener called on the writing thread with the number of writes dropped since the last call
    */
-  public BoundedOutput(OutputStream target, int maxQueuedBytes, LongConsumer dropListener) {
+  public BoundedOutputStream(OutputStream target, int maxQueuedBytes, LongConsumer dropListener) {
     this.target = target;
     this.maxQueuedBytes = maxQueuedBytes;
     this.dropListener = dropListener;
@@ -35,13 +35,13 @@
   }
 
   /** Sets the maximum number of queued bytes. */
-  public synchronized void limit(int maxBytes) {
+  public synchronized void setMaxQueuedBytes(int maxBytes) {
     maxQueuedBytes = maxBytes;
   }
 
   /** The number of writes dropped so far. */
-  public synchronized long dropped() {
-    return dropped;
+  public synchronized long droppedWrites() {
+    return droppedWrites;
   }
 
   @Override
@@ -52,7 +52,7 @@
   @Override
   public synchronized void write(byte[] from, int offset, int length) {
     if (queuedBytes + length > maxQueuedBytes) {
-      dropped++;
+      droppedWrites++;
       unreportedDrops++;
       return;
     }
@@ -102,7 +102,7 @@
   }
 
   /** Waits until the queue is written or the timeout expires; meant for the end of the process. */
-  public synchronized void await(long timeoutMillis) {
+  public synchronized void awaitWritten(long timeoutMillis) {
     long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000;
     try {
       for (long remainingMillis = timeoutMillis; (!queue.isEmpty() || writing) && remainingMillis > 0;
--- a/proxy/src/main/java/amberhoist/log/Event.java
+++ b/proxy/src/main/java/amberhoist/log/Event.java
@@ -67,7 +67,7 @@
   }
 
   /** Whether its lines are rate-limited, because clients or providers can cause it at will. */
-  public boolean limited() {
+  public boolean isRateLimited() {
     return rateLimited;
   }
 
