--- a/proxy/src/test/java/amberhoist/LayersTest.java
+++ b/proxy/src/test/java/amberhoist/LayersTest.java
@@ -9,70 +9,70 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** Which packages may know which. */
+/** Checks which packages may depend on which. */
 @AnalyzeClasses(packages = "amberhoist", importOptions = DoNotIncludeTests.class)
 class LayersTest {
-  private static final String[] OUTSIDE = {"java.io..", "java.net..", "java.nio..", "java.time..", "org.slf4j..",
-      "ch.qos.logback..", "com.fasterxml..", "picocli..", "io.prometheus..", "java.util.concurrent.."};
+  private static final String[] IO_TIME_AND_LIBRARIES = {"java.io..", "java.net..", "java.nio..", "java.time..",
+      "org.slf4j..", "ch.qos.logback..", "com.fasterxml..", "picocli..", "io.prometheus..", "java.util.concurrent.."};
 
   @ArchTest
-  static final ArchRule THE_MODULE_KNOWS_NOTHING_OUTSIDE =
+  static final ArchRule DECIDE_DEPENDS_ONLY_ON_JAVA_LANG_AND_UTIL =
       classes().that().resideInAPackage("amberhoist.decide..").should().onlyDependOnClassesThat()
           .resideInAnyPackage("amberhoist.decide..", "java.lang..", "java.util", "java.util.function",
               "java.util.stream");
 
   @ArchTest
-  static final ArchRule THE_CORE_DOES_NO_IO =
+  static final ArchRule CORE_USES_NO_IO_TIME_OR_LIBRARIES =
       noClasses().that().resideInAPackage("amberhoist.core..").should().dependOnClassesThat()
-          .resideInAnyPackage(OUTSIDE);
+          .resideInAnyPackage(IO_TIME_AND_LIBRARIES);
 
   @ArchTest
-  static final ArchRule THE_CORE_KNOWS_ONLY_MODULE_AND_COUNTERS =
+  static final ArchRule CORE_DEPENDS_ONLY_ON_DECIDE_AND_METRICS =
       noClasses().that().resideInAPackage("amberhoist.core..").should().dependOnClassesThat(
-          com.tngtech.archunit.base.DescribedPredicate.describe("other parts of the program",
+          com.tngtech.archunit.base.DescribedPredicate.describe("other packages of the proxy",
               other -> other.getPackageName().startsWith("amberhoist.")
                   && !other.getPackageName().matches("amberhoist\\.(core|decide|metrics).*")));
 
   @ArchTest
-  static final ArchRule MODULE_AND_CORE_READ_NO_CLOCK =
+  static final ArchRule DECIDE_AND_CORE_READ_NO_CLOCK =
       noClasses().that().resideInAnyPackage("amberhoist.decide..", "amberhoist.core..")
           .should().callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")
           .orShould().dependOnClassesThat().resideInAPackage("amberhoist.clock..");
 
   @ArchTest
-  static final ArchRule FRONTS_DO_NOT_KNOW_EACH_OTHER =
+  static final ArchRule FRONTS_DO_NOT_DEPEND_ON_EACH_OTHER =
       slices().matching("amberhoist.front.(*)..").should().notDependOnEachOther();
 
   @ArchTest
-  static final ArchRule SOCKETS_KNOW_NO_FRONT =
+  static final ArchRule NET_DOES_NOT_DEPEND_ON_FRONT =
       noClasses().that().resideInAPackage("amberhoist.net..").should().dependOnClassesThat()
           .resideInAPackage("amberhoist.front..");
 
   @ArchTest
-  static final ArchRule NOTHING_KNOWS_THE_COMMAND_LINE =
+  static final ArchRule ONLY_CLI_DEPENDS_ON_CLI_AND_PICOCLI =
       noClasses().that().resideOutsideOfPackage("amberhoist.cli..").should().dependOnClassesThat()
           .resideInAnyPackage("amberhoist.cli..", "picocli..");
 
   @ArchTest
-  static final ArchRule ONLY_THE_LOG_KNOWS_ITS_BACKEND =
+  static final ArchRule ONLY_LOG_DEPENDS_ON_ITS_BACKENDS =
       noClasses().that().resideOutsideOfPackage("amberhoist.log..").should().dependOnClassesThat()
           .resideInAnyPackage("ch.qos.logback..", "org.slf4j.simple..");
 
   @ArchTest
-  static final ArchRule THE_GROUP_OPENS_NOTHING_AND_READS_NO_CLOCK =
+  static final ArchRule CONTROL_PLANE_DOES_NO_IO_AND_READS_NO_CLOCK =
       noClasses().that().resideInAnyPackage("amberhoist.group", "amberhoist.rollout..", "amberhoist.distribution..")
           .should().dependOnClassesThat()
           .resideInAnyPackage("java.net..", "java.nio.file..", "java.nio.channels..", "org.slf4j..",
               "amberhoist.net..", "amberhoist.clock..", "amberhoist.core..", "amberhoist.decide..");
 
   @ArchTest
-  static final ArchRule THE_DISTRIBUTION_DOES_NO_IO_AND_KNOWS_ITS_ENCODING_ONLY_IN_ONE_PLACE =
+  static final ArchRule DISTRIBUTION_USES_NO_TIME_API_AND_NO_ENCODING =
       noClasses().that().resideInAnyPackage("amberhoist.distribution", "amberhoist.distribution.controller")
           .should().dependOnClassesThat().resideInAnyPackage("java.time..", "com.fasterxml..",
               "amberhoist.distribution.wire..");
 
   @ArchTest
-  static final ArchRule THE_PLATFORM_SIDE_LOADS_NO_GROUP =
+  static final ArchRule PROXY_DOES_NOT_DEPEND_ON_CONTROL_PLANE =
       noClasses().that()
           .resideOutsideOfPackages("amberhoist.group..", "amberhoist.rollout..", "amberhoist.distribution..").should()
           .dependOnClassesThat().resideInAnyPackage("amberhoist.group..", "amberhoist.rollout..",
--- a/proxy/src/test/java/amberhoist/LimitsTest.java
+++ b/proxy/src/test/java/amberhoist/LimitsTest.java
@@ -12,32 +12,33 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
+/** Limits on source files: their length, and what the decision module may use. */
 class LimitsTest {
-  private static final Path SOURCES = Path.of("src/main/java/amberhoist/decide");
+  private static final Path DECIDE_SOURCES = Path.of("src/main/java/amberhoist/decide");
 
   @Test
-  void policyRefersToTheInterfaceInItsFirstLines() throws IOException {
-    List<String> lines = Files.readAllLines(SOURCES.resolve("Policy.java"));
+  void policyNamesBalancerJavaInItsFirst40Lines() throws IOException {
+    List<String> lines = Files.readAllLines(DECIDE_SOURCES.resolve("Policy.java"));
     assertTrue(lines.stream().limit(40).anyMatch(line -> line.contains("Balancer.java")));
   }
 
   @Test
-  void noClassIsLongerThan400LinesNorAPackageThan1500() throws IOException {
-    Map<Path, Long> packages = new HashMap<>();
+  void filesHaveAtMost400LinesAndPackages1500() throws IOException {
+    Map<Path, Long> linesByPackage = new HashMap<>();
     try (Stream<Path> files = Files.walk(Path.of("src/main/java"))) {
       for (Path file : files.filter(path -> path.toString().endsWith(".java")).toList()) {
         long lines = Files.readAllLines(file).size();
-        packages.merge(file.getParent(), lines, Long::sum);
+        linesByPackage.merge(file.getParent(), lines, Long::sum);
         assertTrue(lines <= 400 || file.endsWith("Policy.java"), file + ": " + lines);
       }
     }
-    packages.forEach((folder, lines) -> assertTrue(lines <= 1500, folder + ": " + lines));
+    linesByPackage.forEach((folder, lines) -> assertTrue(lines <= 1500, folder + ": " + lines));
   }
 
   @Test
-  void theModuleDependsOnNothingButTheJdkAndKeepsNoStaticState() throws IOException {
+  void decisionModuleImportsOnlyTheJdkAndHasNoMutableStatics() throws IOException {
     for (String name : List.of("Policy.java", "Balancer.java", "BalancerState.java")) {
-      String text = Files.readString(SOURCES.resolve(name));
+      String text = Files.readString(DECIDE_SOURCES.resolve(name));
       List<String> foreign = text.lines()
           .filter(line -> line.startsWith("import "))
           .filter(line -> !line.startsWith("import java.util.") && !line.startsWith("import amberhoist."))
--- a/proxy/src/test/java/amberhoist/admin/AdminSocketTest.java
+++ b/proxy/src/test/java/amberhoist/admin/AdminSocketTest.java
@@ -16,39 +16,40 @@
 import org.HdrHistogram.AbstractHistogram;
 import org.junit.jupiter.api.Test;
 
-/** Who is cut off at the admin socket: whoever dawdles, not whoever asks what takes long to answer. */
+/** The timeout of the admin socket applies to slow clients, not to responses that take long to produce. */
 class AdminSocketTest {
   private static final Duration TIMEOUT = Duration.ofSeconds(1);
 
-  /** Answers only well after the timeout, as a process does that has just started. */
-  private static final class Slow implements AdminSocket.Source {
+  /** Produces its response only after the timeout, as a process does that has just started. */
+  private static final class SlowSource implements AdminSocket.Source {
     @Override
     public Status status() {
-      throw new IllegalStateException("not asked here");
+      throw new IllegalStateException("not requested in this test");
     }
 
     @Override
     public Map<Span, ? extends AbstractHistogram> latencies() {
-      throw new IllegalStateException("not asked here");
+      throw new IllegalStateException("not requested in this test");
     }
 
     @Override
     public String config() {
       try {
         new CountDownLatch(1).await(TIMEOUT.toMillis() * 3 / 2, TimeUnit.MILLISECONDS);
-      } catch (InterruptedException ended) {
-        throw new IllegalStateException(ended);
+      } catch (InterruptedException interrupted) {
+        throw new IllegalStateException(interrupted);
       }
-      return "all of it";
+      return "the configuration";
     }
   }
 
   @Test
-  void anAnswerThatTakesLongIsNoDawdling() throws Exception {
-    InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    try (AdminSocket admin = new AdminSocket(any, TIMEOUT, new Slow(), new EventLog("n0", LogSettings.DEFAULT))) {
-      assertEquals("all of it", AdminClient.get(admin.address(), "/config"));
-      assertThrows(IOException.class, () -> AdminClient.get(admin.address(), "/nothing"), "a 404 is told as such");
+  void returnsAResponseProducedAfterTheTimeout() throws Exception {
+    InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    try (AdminSocket admin = new AdminSocket(address, TIMEOUT, new SlowSource(),
+        new EventLog("n0", LogSettings.DEFAULT))) {
+      assertEquals("the configuration", AdminClient.get(admin.address(), "/config"));
+      assertThrows(IOException.class, () -> AdminClient.get(admin.address(), "/nothing"), "a 404 is an error");
     }
   }
 }
--- a/proxy/src/test/java/amberhoist/log/LogTest.java
+++ b/proxy/src/test/java/amberhoist/log/LogTest.java
@@ -21,18 +21,19 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.event.KeyValuePair;
 
+/** Rate limits, escaping, the bounded output and the JSON format of the log. */
 class LogTest {
-  private static final long SECOND = 1_000_000_000;
+  private static final long SECOND_NANOS = 1_000_000_000;
 
-  private long nanos;
+  private long nowNanos;
 
-  /** The lines that this brings to standard error. */
-  private static List<String> lines(Runnable told) {
+  /** Returns the lines that the action writes to standard error. */
+  private static List<String> captureLines(Runnable action) {
     PrintStream before = System.err;
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     System.setErr(new PrintStream(bytes, true, StandardCharsets.UTF_8));
     try {
-      told.run();
+      action.run();
     } finally {
       System.setErr(before);
     }
@@ -41,46 +42,46 @@
 
   private EventLog log(int rate, int burst) {
     return new EventLog("n0", new LogSettings(Format.TEXT, org.slf4j.event.Level.INFO, rate, burst, 1 << 16),
-        () -> nanos);
+        () -> nowNanos);
   }
 
   @Test
-  void aFloodOfBadClientsIsToldAtItsRateAndTheRestIsCounted() {
+  void limitsTheRateOfAnEventAndCountsSuppressedLines() {
     EventLog log = log(5, 20);
-    int flood = 100_000; // ten seconds of 10,000 a second
-    List<String> lines = lines(() -> {
-      for (int i = 0; i < flood; i++) {
-        nanos += SECOND / 10_000;
+    int lineCount = 100_000; // ten seconds of 10,000 a second
+    List<String> lines = captureLines(() -> {
+      for (int i = 0; i < lineCount; i++) {
+        nowNanos += SECOND_NANOS / 10_000;
         log.log(Event.CLIENT_MALFORMED, "no OPEN", "peer", "/127.0.0.1:" + i);
       }
     });
     assertTrue(lines.size() >= 50 && lines.size() <= 20 + 5 * 10, lines.size() + " lines");
-    assertEquals(flood - lines.size(), log.suppressedLines(), "every line is told or counted");
+    assertEquals(lineCount - lines.size(), log.suppressedLines(), "every line is written or counted");
     assertTrue(lines.get(30).contains("suppressed="), lines.get(30));
-    List<String> rest = lines(log::logSuppressed);
-    assertEquals(1, rest.size());
-    assertTrue(rest.get(0).contains("event=log.suppressed") && rest.get(0).contains("of=client.malformed"));
-    assertEquals(List.of(), lines(log::logSuppressed), "told once");
+    List<String> summary = captureLines(log::logSuppressed);
+    assertEquals(1, summary.size());
+    assertTrue(summary.get(0).contains("event=log.suppressed") && summary.get(0).contains("of=client.malformed"));
+    assertEquals(List.of(), captureLines(log::logSuppressed), "logged once");
   }
 
   @Test
-  void oneEventsFloodHidesNoOther() {
+  void limitsEachEventSeparately() {
     EventLog log = log(1, 1);
-    List<String> lines = lines(() -> {
+    List<String> lines = captureLines(() -> {
       for (int i = 0; i < 100; i++) {
         log.log(Event.CLIENT_MALFORMED, "no OPEN");
       }
       log.log(Event.PROVIDER_SILENT, "silent");
       for (int i = 0; i < 3; i++) {
-        log.log(Event.CONFIG_REFUSED, "not limited: an operator brought it about");
+        log.log(Event.CONFIG_REFUSED, "not rate-limited: caused by an operator");
       }
     });
     assertEquals(5, lines.size());
   }
 
   @Test
-  void whatAClientSentCannotMakeALineOfItsOwnOrALongOne() {
-    List<String> lines = lines(() -> log(5, 5).log(Event.CLIENT_MALFORMED, "x\r\nERROR forged\u001b[31m",
+  void escapesAndTruncatesTextFromClients() {
+    List<String> lines = captureLines(() -> log(5, 5).log(Event.CLIENT_MALFORMED, "x\r\nERROR forged\u001b[31m",
         "peer", "y".repeat(1_000_000)));
     assertEquals(1, lines.size());
     assertTrue(lines.get(0).length() < 5000);
@@ -88,10 +89,10 @@
   }
 
   @Test
-  void aReaderThatStopsReadingHoldsUpNobodyAndDropsAreToldLater() throws Exception {
-    Semaphore may = new Semaphore(0);
+  void blockedOutputDropsWritesAndReportsThemLater() throws Exception {
+    Semaphore writePermits = new Semaphore(0);
     BlockingQueue<String> written = new LinkedBlockingQueue<>();
-    BlockingQueue<Long> told = new LinkedBlockingQueue<>();
+    BlockingQueue<Long> reportedDrops = new LinkedBlockingQueue<>();
     OutputStream pipe = new OutputStream() {
       @Override
       public void write(int b) {
@@ -100,32 +101,32 @@
 
       @Override
       public void write(byte[] bytes) {
-        may.acquireUninterruptibly();
+        writePermits.acquireUninterruptibly();
         written.add(new String(bytes, StandardCharsets.UTF_8));
       }
     };
-    BoundedOutputStream output = new BoundedOutputStream(pipe, 100, told::add);
+    BoundedOutputStream output = new BoundedOutputStream(pipe, 100, reportedDrops::add);
     byte[] line = "123456789\n".getBytes(StandardCharsets.UTF_8);
     for (int i = 0; i < 1000; i++) {
-      output.write(line, 0, line.length); // returns, or this test never ends
+      output.write(line, 0, line.length); // must not block
     }
     long dropped = output.droppedWrites();
-    assertTrue(dropped >= 1000 - 11 && dropped <= 1000 - 10, dropped + " dropped"); // one may be at the pipe
-    may.release(1000);
-    long sum = 0;
-    while (sum < dropped) {
-      Long count = told.poll(10, TimeUnit.SECONDS);
-      assertTrue(count != null, "only " + sum + " of " + dropped + " were told");
-      sum += count;
+    assertTrue(dropped >= 1000 - 11 && dropped <= 1000 - 10, dropped + " dropped"); // one may be in write()
+    writePermits.release(1000);
+    long reported = 0;
+    while (reported < dropped) {
+      Long count = reportedDrops.poll(10, TimeUnit.SECONDS);
+      assertTrue(count != null, "only " + reported + " of " + dropped + " drops were reported");
+      reported += count;
     }
-    assertEquals(dropped, sum);
+    assertEquals(dropped, reported);
     for (long i = 0; i < 1000 - dropped; i++) {
-      assertEquals("123456789\n", written.poll(10, TimeUnit.SECONDS), "what was taken is written whole");
+      assertEquals("123456789\n", written.poll(10, TimeUnit.SECONDS), "accepted lines are written whole");
     }
   }
 
   @Test
-  void jsonLinesHoldEachFieldByItsName() throws Exception {
+  void jsonLinesContainEachFieldByItsName() throws Exception {
     LoggerContext context = new LoggerContext();
     LoggingEvent event = new LoggingEvent("", context.getLogger("amberhoist.call"), Level.INFO,
         "a \"call\" ended\n", new IllegalStateException("x"), new Object[0]);
--- a/proxy/src/test/java/amberhoist/net/LoopTest.java
+++ b/proxy/src/test/java/amberhoist/net/LoopTest.java
@@ -9,15 +9,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** The order of events and timers in the event loop. */
 @Timeout(30)
 class LoopTest {
-  /** Failure met by reading: after the process stood still, timers went ahead of all that had come meanwhile. */
+  /** After a stall of the process, events that arrived meanwhile must run before the expired timers. */
   @Test
-  void afterAStallWhatHasComeGoesAheadOfTheTimersOnce() throws Exception {
+  void runsEventsBeforeExpiredTimersAfterAStall() throws Exception {
     List<String> order = Collections.synchronizedList(new ArrayList<>());
     EventLoop loop = new EventLoop(fault -> order.add(fault.toString()), late -> { });
-    CountDownLatch held = new CountDownLatch(1);
-    CountDownLatch go = new CountDownLatch(1);
+    CountDownLatch blocked = new CountDownLatch(1);
+    CountDownLatch resume = new CountDownLatch(1);
     CountDownLatch fired = new CountDownLatch(2);
     loop.post(() -> {
       for (int i = 0; i < 2; i++) {
@@ -26,40 +27,40 @@
           fired.countDown();
         });
       }
-      held.countDown();
-      await(go);
+      blocked.countDown();
+      await(resume);
     });
-    held.await();
+    blocked.await();
     for (long end = loop.now() + 100_000; loop.now() < end;) {
-      Thread.onSpinWait(); // the timers are long due, and so is the tick that would fire them
+      Thread.onSpinWait(); // until the timers and the tick that fires them are overdue
     }
     loop.post(() -> order.add("event"));
-    go.countDown();
+    resume.countDown();
     fired.await();
     assertEquals(List.of("event", "timer", "timer"), order);
     loop.close();
   }
 
-  /** Timers must not wait for a process that is late at each tick. */
+  /** Timers must fire even if every tick is late. */
   @Test
-  void timersFireAlthoughEachTickComesLate() throws Exception {
+  void firesTimersAlthoughEveryTickIsLate() throws Exception {
     EventLoop loop = new EventLoop(fault -> { }, late -> { });
     CountDownLatch fired = new CountDownLatch(1);
-    busy(loop, fired);
-    busy(loop, fired); // one waits whenever one runs
+    keepBusy(loop, fired);
+    keepBusy(loop, fired); // one is queued whenever the other runs
     loop.post(() -> loop.timerWheel().arm(loop.now() + EventLoop.TICK_MICROS, at -> fired.countDown()));
     fired.await();
     loop.close();
   }
 
-  /** Keeps the loop busy, in tasks longer than what counts as a stall, until this has happened. */
-  private static void busy(EventLoop loop, CountDownLatch until) {
+  /** Keeps the loop busy with tasks of 30 ms, longer than the threshold of a stall, until the latch is at zero. */
+  private static void keepBusy(EventLoop loop, CountDownLatch until) {
     loop.post(() -> {
       for (long end = loop.now() + 30_000; loop.now() < end;) {
         Thread.onSpinWait();
       }
       if (until.getCount() > 0) {
-        busy(loop, until);
+        keepBusy(loop, until);
       }
     });
   }
@@ -67,7 +68,7 @@
   private static void await(CountDownLatch latch) {
     try {
       latch.await();
-    } catch (InterruptedException ended) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     }
   }
--- a/proxy/src/test/java/amberhoist/upgrade/UpgradeRecordTest.java
+++ b/proxy/src/test/java/amberhoist/upgrade/UpgradeRecordTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The record that the processes of an upgrade share, and its file. */
+/** The upgrade record shared by processes, its encoding and its file. */
 class UpgradeRecordTest {
   private static final UpgradeRecord RECORD = new UpgradeRecord(Set.of("s-1", "s \"2\" \u00e9"),
       List.of(new Member("a", 11, true, 40), new Member("b", 12, false, 0)), Map.of("k1", "s-1", "k\"", "s-2"));
@@ -27,29 +27,29 @@
   @TempDir
   Path folder;
 
-  private final List<String> told = new ArrayList<>();
+  private final List<String> problems = new ArrayList<>();
 
   private UpgradeRecordFile file() {
-    return new UpgradeRecordFile(folder, told::add);
+    return new UpgradeRecordFile(folder, problems::add);
   }
 
-  private Path path() {
+  private Path recordPath() {
     return folder.resolve("amberhoist.handover");
   }
 
   @Test
-  void aRecordIsReadAsItWasWritten() throws Exception {
+  void decodesWhatItEncodes() throws Exception {
     assertEquals(RECORD, UpgradeRecordCodec.decode(UpgradeRecordCodec.encode(RECORD)));
     assertEquals(UpgradeRecord.EMPTY, UpgradeRecordCodec.decode(UpgradeRecordCodec.encode(UpgradeRecord.EMPTY)));
   }
 
   @Test
-  void whatIsCutShortAnywhereIsNoRecord() {
-    byte[] whole = UpgradeRecordCodec.encode(RECORD);
-    for (int length = 0; length < whole.length; length++) {
-      byte[] part = Arrays.copyOf(whole, length);
-      assertThrows(UnreadableRecordException.class, () -> UpgradeRecordCodec.decode(part),
-          new String(part, StandardCharsets.UTF_8));
+  void rejectsTruncatedAndInvalidRecords() {
+    byte[] encoded = UpgradeRecordCodec.encode(RECORD);
+    for (int length = 0; length < encoded.length; length++) {
+      byte[] truncated = Arrays.copyOf(encoded, length);
+      assertThrows(UnreadableRecordException.class, () -> UpgradeRecordCodec.decode(truncated),
+          new String(truncated, StandardCharsets.UTF_8));
     }
     for (String text : List.of("[]", "{\"suspended\":[]}", "{\"version\":1,\"more\":[1]}", "{\"version\":1}x",
         "{\"version\":1,\"suspended\":[3]}", "{\"version\":1,\"members\":[{\"pid\":1}]}", "{\"version\":\"1\"}",
@@ -60,16 +60,17 @@
   }
 
   @Test
-  void aProcessThatStartedLaterAndServesIsASuccessor() {
-    assertFalse(RECORD.hasSuccessor("a"), "the later one does not serve yet");
+  void laterReadyProcessIsASuccessor() {
+    assertFalse(RECORD.hasSuccessor("a"), "the later process does not serve yet");
     UpgradeRecord ready = RECORD.with(new Member("b", 12, true, 9));
     assertTrue(ready.hasSuccessor("a"));
-    assertFalse(ready.hasSuccessor("b"), "the one before it is none");
-    assertFalse(ready.filterMembers(member -> member.pid() != 12).hasSuccessor("a"), "one that died is none");
+    assertFalse(ready.hasSuccessor("b"), "an earlier process is no successor");
+    assertFalse(ready.filterMembers(member -> member.pid() != 12).hasSuccessor("a"),
+        "a process that ended is no successor");
   }
 
   @Test
-  void changesOfTwoProcessesAreBothKept() throws Exception {
+  void keepsChangesOfBothProcesses() throws Exception {
     UpgradeRecordFile first = file();
     UpgradeRecordFile second = file();
     first.update(record -> record.with("x", true));
@@ -78,37 +79,37 @@
     first.update(record -> record.with("x", false));
     assertEquals(Set.of("y"), second.read().suspended());
     assertEquals(Set.of("y"), first.read().suspended());
-    assertEquals(List.of(), told);
+    assertEquals(List.of(), problems);
   }
 
-  /** Guards against calling back what was taken out because a file was spoilt or lost. */
+  /** A corrupt or deleted file must not resume suspended providers. */
   @Test
-  void aSpoiltOrLostFileLeavesAllAsItWasAndIsTold() throws Exception {
+  void corruptOrDeletedFileKeepsTheRecordAndIsReported() throws Exception {
     UpgradeRecordFile file = file();
     file.update(record -> record.with("x", true));
-    Files.writeString(path(), "{\"version\":1,\"susp");
+    Files.writeString(recordPath(), "{\"version\":1,\"susp");
     assertEquals(Set.of("x"), file.read().suspended());
-    assertEquals(1, told.size());
-    Files.delete(path());
+    assertEquals(1, problems.size());
+    Files.delete(recordPath());
     assertEquals(Set.of("x"), file.read().suspended());
     assertEquals(Set.of("x", "y"), file.update(record -> record.with("y", true)).suspended());
     assertEquals(Set.of("x", "y"), file().read().suspended());
   }
 
   @Test
-  void aFileOfANewerVersionIsLeftAndOneOfAnOlderIsReplaced() throws Exception {
-    Files.writeString(path(), "{\"version\":2,\"all\":\"different\"}");
+  void keepsAFileOfANewerVersionAndReplacesAnOlderOne() throws Exception {
+    Files.writeString(recordPath(), "{\"version\":2,\"all\":\"different\"}");
     UpgradeRecordFile file = file();
     assertEquals(UpgradeRecord.EMPTY, file.read());
     assertThrows(IOException.class, () -> file.update(record -> record.with("x", true)));
-    assertTrue(Files.readString(path()).contains("different"));
-    Files.writeString(path(), "{\"version\":0}");
+    assertTrue(Files.readString(recordPath()).contains("different"));
+    Files.writeString(recordPath(), "{\"version\":0}");
     assertEquals(Set.of("x"), file.update(record -> record.with("x", true)).suspended());
   }
 
   @Test
-  void aFolderThatCannotBeWrittenIsAFaultAndNothingElse() {
-    UpgradeRecordFile file = new UpgradeRecordFile(folder.resolve("nowhere"), told::add);
+  void missingFolderFailsOnlyUpdates() {
+    UpgradeRecordFile file = new UpgradeRecordFile(folder.resolve("nowhere"), problems::add);
     assertEquals(UpgradeRecord.EMPTY, file.read());
     assertThrows(IOException.class, () -> file.update(record -> record));
   }
