--- a/proxy/src/test/java/amberhoist/service/DirectoryStoriesTest.java
+++ b/proxy/src/test/java/amberhoist/service/DirectoryStoriesTest.java
@@ -12,17 +12,18 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.Test;
 
-/** Stories of the watch on the directory, and of a stop in good order. */
+/** The watch on the directory, reloads of the platform configuration, and a graceful stop, over loopback sockets. */
 public class DirectoryStoriesTest {
+  /** Waits until the counter has reached this number. */
   static void until(Peers peers, Count count, long number) {
-    long end = System.nanoTime() + Peers.PATIENCE * 1_000_000L;
+    long deadline = System.nanoTime() + Peers.PATIENCE * 1_000_000L;
     while (peers.service.count(count) < number) {
-      assertTrue("no " + count, System.nanoTime() < end);
+      assertTrue("too few: " + count, System.nanoTime() < deadline);
     }
   }
 
   @Test
-  public void aLeavingProviderGetsNothingNewNorARetry() throws Exception {
+  public void sendsNoRequestOrRetryToALeavingProvider() throws Exception {
     try (Peers peers = new Peers(2)) {
       Peer watch = peers.watchTelling(peers.list(2, true, "leaving"));
       until(peers, Count.DIRECTORY_NEWS, 1);
@@ -31,7 +32,7 @@
         Peer provider = peers.provider(1);
         provider.line();
         provider.send(i % 2 == 0 ? "UP 1\r\n" : "ERR\r\n");
-        assertEquals("no other provider to turn to", i % 2 == 0, client.line().equals("UP 1"));
+        assertEquals("no other provider may be tried", i % 2 == 0, client.line().equals("UP 1"));
       }
       watch.send(chunk("")).send(chunk(peers.list(3, false, "active", "left")));
       until(peers, Count.DIRECTORY_NEWS, 2);
@@ -41,90 +42,90 @@
   }
 
   @Test
-  public void theWatchIsRenewedAfterARefusalAResetNonsenseAndSilence() throws Exception {
+  public void renewsTheWatchAfterAnErrorResetInvalidObjectOrSilence() throws Exception {
     try (Peers peers = new Peers(1)) {
       String[] query = new String[1];
       peers.watch(query).send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
       assertEquals("GET /v1/servers?follow=1&since=1 HTTP/1.1", query[0]);
       peers.watch(query).reset();
-      String nonsense = "{\"index\":8,\"snapshot\":true,\"endpoints\":[{}]}";
-      peers.watchTelling(peers.list(7, true)).send(chunk(nonsense));
+      String invalid = "{\"index\":8,\"snapshot\":true,\"endpoints\":[{}]}";
+      peers.watchTelling(peers.list(7, true)).send(chunk(invalid));
       Peer silent = peers.watch(query);
-      assertTrue("from the last news that made sense", query[0].contains("&since=7 "));
+      assertTrue("from the last valid update", query[0].contains("&since=7 "));
       silent.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(""));
       peers.watch(query);
-      assertEquals("given up", "FIN", silent.line());
+      assertEquals("the silent watch is closed", "FIN", silent.line());
       assertEquals(4, peers.service.count(Count.DIRECTORY_FAILURES));
       peers.client(opening("k", 2000, ""));
-      assertTrue("the old list is kept", peers.provider(0).line().contains("k"));
+      assertTrue("the old list stays in use", peers.provider(0).line().contains("k"));
     }
   }
 
   @Test
-  public void aReloadMovesTheWatchAtOnceAndKeepsListAndConnections() throws Exception {
+  public void reloadChangesTheDirectoryAndKeepsListAndConnections() throws Exception {
     try (Peers peers = new Peers(1); ServerSocket other = Peers.listen()) {
       String[] query = new String[1];
       Peer old = peers.watchTelling(peers.list(9, true));
       until(peers, Count.DIRECTORY_NEWS, 1);
-      Peer[] standing = peers.joined("a", 0);
+      Peer[] established = peers.joined("a", 0);
       peers.reload("{\"discovery\":");
-      peers.reload(peers.config(peers.directory)); // nothing new: the watch stays
+      peers.reload(peers.config(peers.directory)); // no change: the watch stays
       until(peers, Count.RELOADS, 1);
       peers.reload(peers.config(other));
       Peer watch = peers.watch(other, query);
-      assertTrue("it may number its versions otherwise: " + query[0], query[0].contains("&since=0 "));
+      assertTrue("indexes of the old directory do not apply: " + query[0], query[0].contains("&since=0 "));
       assertEquals("FIN", old.line());
       peers.client(opening("b", 2000, ""));
-      assertTrue("the list lives on", peers.provider(0).line().contains("b"));
+      assertTrue("the list stays in use", peers.provider(0).line().contains("b"));
       watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
       watch.send(chunk(peers.list(2, true, "leaving")));
       until(peers, Count.DIRECTORY_NEWS, 2);
       assertTrue(peers.client(opening("c", 300, "")).line().startsWith("BUSY"));
-      standing[0].send("M 1\r\n");
-      assertEquals("M 1", standing[1].line());
-      assertEquals("the old watch's end is no failure", 0, peers.service.count(Count.DIRECTORY_FAILURES));
+      established[0].send("M 1\r\n");
+      assertEquals("M 1", established[1].line());
+      assertEquals("closing the old watch is no failure", 0, peers.service.count(Count.DIRECTORY_FAILURES));
       assertEquals(1, peers.service.count(Count.RELOADS_REFUSED));
     }
   }
 
   @Test
-  public void aReloadDoesNotWaitForTheBackOffOfTheOldDirectory() throws Exception {
-    String pause = "[directory]\npause = \"1m\"\npause_most = \"1m\"\n"; // longer than this story has patience
+  public void reloadSkipsTheBackOffOfTheOldDirectory() throws Exception {
+    String pause = "[directory]\npause = \"1m\"\npause_most = \"1m\"\n"; // longer than the timeout of this test
     try (Peers peers = new Peers(1, 1024, pause); ServerSocket other = Peers.listen()) {
       peers.directory.close();
       until(peers, Count.DIRECTORY_FAILURES, 1);
       peers.reload(peers.config(other));
       peers.watch(other, new String[1]);
       peers.service.stop();
-      peers.reload(peers.config(other)); // too late to matter, and harmless
+      peers.reload(peers.config(other)); // has no effect after the stop
     }
   }
 
   @Test(timeout = Peers.PATIENCE)
-  public void theHangupSignalIsTakenAndEndsNothing() throws Exception {
-    CountDownLatch taken = new CountDownLatch(2);
-    Signals.onHangup(taken::countDown);
-    for (long left = 2; left > 0; left--) {
+  public void handlesHangupSignalsWithoutExiting() throws Exception {
+    CountDownLatch unhandled = new CountDownLatch(2);
+    Signals.onHangup(unhandled::countDown);
+    for (long remaining = 2; remaining > 0; remaining--) {
       new ProcessBuilder("kill", "-HUP", Long.toString(ProcessHandle.current().pid())).start().waitFor();
-      while (taken.getCount() >= left) {
+      while (unhandled.getCount() >= remaining) {
         Thread.onSpinWait();
       }
     }
-    assertEquals(0, taken.getCount());
+    assertEquals(0, unhandled.getCount());
   }
 
   @Test
-  public void newsReachesTheModuleBeforeAnInvocationThatCameFirst() throws Exception {
+  public void appliesADirectoryUpdateBeforeAnEarlierInvocation() throws Exception {
     try (Peers peers = new Peers(1)) {
       Peer watch = peers.watchTelling(peers.list(2, true));
       Peer client = peers.client("PING\r\n");
       assertEquals("PONG", client.line());
       until(peers, Count.DIRECTORY_NEWS, 1);
-      try (Peers.Hold hold = peers.hold()) {
+      try (Peers.Hold pause = peers.hold()) {
         client.send(opening("k", 1000, ""));
-        hold.next();
+        pause.next();
         watch.send(chunk(peers.list(3, true, "leaving")));
-        hold.next();
+        pause.next();
       }
       assertTrue(client.line().startsWith("BUSY"));
       assertEquals(0, peers.service.count(Count.CALLS));
@@ -132,28 +133,29 @@
   }
 
   @Test
-  public void aStopMovesStandingClientsAnswersTheOthersAndEndsInTime() throws Exception {
+  public void stopMovesClientsAnswersTheOthersAndEndsInTime() throws Exception {
     try (Peers peers = new Peers(1)) {
-      Peer[] standing = peers.joined("a", 0);
-      Peer owed = peers.client(opening("b", 3000, ""));
+      Peer[] established = peers.joined("a", 0);
+      Peer unanswered = peers.client(opening("b", 3000, ""));
       peers.provider(0).line();
       long start = System.nanoTime();
       Thread stop = new Thread(peers.service::stop);
       stop.start();
       Peer late = peers.client(opening("c", 3000, ""));
-      Peer called = peers.provider(0);
-      called.line();
-      called.send("UP 3\r\n");
+      Peer provider = peers.provider(0);
+      provider.line();
+      provider.send("UP 3\r\n");
       assertEquals("still served", "UP 3", late.line());
-      assertEquals("MOVE", standing[0].line());
-      assertTrue("late: another proxy may only just be starting", System.nanoTime() - start > 1_500_000_000L);
-      assertEquals("FIN", standing[0].line());
-      assertEquals("FIN", standing[1].line());
+      assertEquals("MOVE", established[0].line());
+      assertTrue("not within 1.5 s: another proxy may still be starting",
+          System.nanoTime() - start > 1_500_000_000L);
+      assertEquals("FIN", established[0].line());
+      assertEquals("FIN", established[1].line());
       assertEquals("MOVE", late.line());
       assertTrue(peers.client(opening("d", 3000, "")).line().startsWith("BUSY "));
-      assertTrue(owed.line().startsWith("BUSY"));
+      assertTrue(unanswered.line().startsWith("BUSY"));
       stop.join();
-      assertTrue("before it is killed", System.nanoTime() - start < 3_700_000_000L);
+      assertTrue("within 3.7 s, before it would be killed", System.nanoTime() - start < 3_700_000_000L);
     }
   }
 }
--- a/proxy/src/test/java/amberhoist/service/Peers.java
+++ b/proxy/src/test/java/amberhoist/service/Peers.java
@@ -21,12 +21,12 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 
-/** The scripted peers of the stories: a directory, providers and clients on loopback, round a real proxy. */
+/** A proxy in this process with scripted peers on loopback: a directory, providers and clients. */
 final class Peers implements AutoCloseable {
   static final int PATIENCE = 8000;
   private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
-  /** One end of a connection; whatever does not come within the patience fails the story. */
+  /** The test's end of a connection to the proxy; a read that takes longer than the timeout fails the test. */
   static final class Peer {
     final Socket socket;
     private final InputStream in;
@@ -43,7 +43,7 @@
       return this;
     }
 
-    /** The next line without its CRLF, "FIN" or "RESET" at the connection's end. */
+    /** Returns the next line without its CRLF, or "FIN" or "RESET" at the end of the connection. */
     String line() throws IOException {
       ByteArrayOutputStream line = new ByteArrayOutputStream();
       try {
@@ -68,40 +68,40 @@
   final List<ServerSocket> providers = new ArrayList<>();
   final ServerSocket directory = listen();
   final Service service;
-  private final int sockets;
-  private final List<Peer> open = new ArrayList<>();
+  private final int socketLimit;
+  private final List<Peer> openConnections = new ArrayList<>();
 
-  private final Path platform = Files.createTempFile("config", ".json");
-  private final Path operator = Files.createTempFile("operator", ".toml");
+  private final Path platformFile = Files.createTempFile("config", ".json");
+  private final Path operatorFile = Files.createTempFile("operator", ".toml");
 
-  /** A proxy that knows so many providers, all active, as p0, p1 and so on. */
+  /** Starts a proxy that knows {@code count} active providers, named p0, p1 and so on. */
   Peers(int count, int sockets) throws Exception {
     this(count, sockets, null);
   }
 
-  /** The same with this operator's file, null for none. */
+  /** Starts the same with the given text as the operator's file, null for none. */
   Peers(int count, int sockets, String keys) throws Exception {
     for (int i = 0; i < count; i++) {
       providers.add(listen());
     }
-    this.sockets = sockets;
-    Files.writeString(platform, config(directory));
+    this.socketLimit = sockets;
+    Files.writeString(platformFile, config(directory));
     if (keys == null) {
-      service = Service.start(Config.load(Map.of("LB_CONFIG", platform.toString()), new Clock()));
+      service = Service.start(Config.load(Map.of("LB_CONFIG", platformFile.toString()), new Clock()));
     } else {
-      Files.writeString(operator, keys);
+      Files.writeString(operatorFile, keys);
       service = Service.start(Setup.load(sources(Map.of()), new Clock()));
     }
   }
 
   private Sources sources(Map<String, String> flags) {
-    return new Sources(operator, flags, Map.of("LB_CONFIG", platform.toString()));
+    return new Sources(operatorFile, flags, Map.of("LB_CONFIG", platformFile.toString()));
   }
 
-  /** The configuration, naming this directory. */
+  /** Returns the platform configuration with the address of the given directory. */
   String config(ServerSocket directory) {
     return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
-        + directory.getLocalPort() + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" + sockets
+        + directory.getLocalPort() + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" + socketLimit
         + "},\"known\":" + list(1, true, "active") + ",\"settings\":{\"discovery\":\"subscribe\",\"lanes\":[{"
         + "\"name\":\"chat\",\"effect\":\"pure\",\"key-scope\":\"all\",\"aim\":300000,\"give-up\":3000000}],"
         + "\"tenants\":[{\"name\":\"acme\"}],"
@@ -109,22 +109,22 @@
         + "\"max-retry-after\":1500000,\"dial-timeout\":250000}}}";
   }
 
-  /** Replaces the configuration by this text and has the proxy read it again, as SIGHUP does. */
+  /** Reloads the proxy, as SIGHUP does, with the given platform configuration. */
   void reload(String text) throws IOException {
     Path file = Files.createTempFile("config", ".json");
     Files.writeString(file, text);
-    String first = "127.0.0.1:" + directory.getLocalPort();
-    service.reload(Map.of("LB_CONFIG", file.toString(), "LB_DISCOVERY", first));
+    String address = "127.0.0.1:" + directory.getLocalPort();
+    service.reload(Map.of("LB_CONFIG", file.toString(), "LB_DISCOVERY", address));
     Files.delete(file);
   }
 
-  /** Has a proxy that was started with an operator's file read it again, with this in it. */
+  /** Replaces the text of the operator's file and reloads; the proxy must have been started with such a file. */
   void reloadWith(String keys) throws IOException {
-    Files.writeString(operator, keys);
+    Files.writeString(operatorFile, keys);
     service.reload(sources(Map.of()));
   }
 
-  /** The same with this key set besides. */
+  /** Reloads the operator's file as it is, with this key set by a flag. */
   void reloadWith(String key, String value) {
     service.reload(sources(Map.of(key, value)));
   }
@@ -139,7 +139,10 @@
     return server;
   }
 
-  /** The list of all providers in this version; the first ones have these states, the others are active. */
+  /**
+   * Returns an object of the directory with all providers. The first ones have the given states, the others are
+   * active.
+   */
   String list(int index, boolean whole, String... states) {
     StringBuilder text = new StringBuilder();
     for (int i = 0; i < providers.size(); i++) {
@@ -150,22 +153,22 @@
     return "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[" + text + "]}";
   }
 
-  /** The next watch of the proxy; its query has been read, and its first line is left in {@code query}. */
+  /** Accepts the next watch of the proxy, reads its request and stores the request line in {@code query[0]}. */
   Peer watch(String[] query) throws IOException {
     return watch(directory, query);
   }
 
-  /** The next watch that comes to this directory. */
+  /** Accepts the next watch at the given directory. */
   Peer watch(ServerSocket directory, String[] query) throws IOException {
     Peer peer = accept(directory);
     query[0] = peer.line();
     while (!peer.line().isEmpty()) {
-      // the other headers
+      // skips the headers
     }
     return peer;
   }
 
-  /** The next watch, answered with this line. */
+  /** Accepts the next watch and answers it with the given object as its first chunk. */
   Peer watchTelling(String line) throws IOException {
     Peer watch = watch(new String[1]).send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     return watch.send(chunk(line));
@@ -177,7 +180,7 @@
 
   Peer accept(ServerSocket server) throws IOException {
     Peer peer = new Peer(server.accept());
-    open.add(peer);
+    openConnections.add(peer);
     return peer;
   }
 
@@ -187,7 +190,7 @@
 
   Peer client(String text) throws IOException {
     Peer peer = new Peer(new Socket(LOOPBACK, service.address().getPort()));
-    open.add(peer);
+    openConnections.add(peer);
     return peer.send(text);
   }
 
@@ -195,35 +198,35 @@
     return "OPEN 9b1f" + key + " " + key + " c=chat,t=acme,d=" + wait + ",g=5c0f" + more + "\r\n";
   }
 
-  /** The proxy's loop held up until this is closed; what comes meanwhile waits, in the order in which it came. */
+  /** Blocks the proxy's event loop until closed; tasks that arrive meanwhile are queued in their order. */
   final class Hold implements AutoCloseable {
-    private final CountDownLatch go = new CountDownLatch(1);
-    private int waiting;
+    private final CountDownLatch resume = new CountDownLatch(1);
+    private int expectedTaskCount;
 
     private Hold() {
-      CountDownLatch held = new CountDownLatch(1);
+      CountDownLatch blocked = new CountDownLatch(1);
       service.loop().post(() -> {
-        held.countDown();
-        await(go);
+        blocked.countDown();
+        await(resume);
       });
-      await(held);
-      waiting = service.loop().queuedTaskCount();
+      await(blocked);
+      expectedTaskCount = service.loop().queuedTaskCount();
     }
 
     private static void await(CountDownLatch latch) {
       try {
         latch.await();
-      } catch (InterruptedException ended) {
+      } catch (InterruptedException interrupted) {
         Thread.currentThread().interrupt();
       }
     }
 
-    /** Returns when one thing more waits. */
+    /** Waits until one more task is queued. */
     Hold next() {
-      waiting++;
-      long end = System.nanoTime() + PATIENCE * 1_000_000L;
-      while (service.loop().queuedTaskCount() < waiting) {
-        assertTrue("nothing comes", System.nanoTime() < end);
+      expectedTaskCount++;
+      long deadline = System.nanoTime() + PATIENCE * 1_000_000L;
+      while (service.loop().queuedTaskCount() < expectedTaskCount) {
+        assertTrue("no further task was queued", System.nanoTime() < deadline);
         Thread.onSpinWait();
       }
       return this;
@@ -231,7 +234,7 @@
 
     @Override
     public void close() {
-      go.countDown();
+      resume.countDown();
     }
   }
 
@@ -239,19 +242,19 @@
     return new Hold();
   }
 
-  /** A client served by a provider: both ends. */
+  /** Establishes a connection through the proxy; returns the client's and the provider's end of it. */
   Peer[] joined(String key, int provider) throws IOException {
-    Peer client = client(opening(key, 99_999_999, ",at=p" + provider)); // its wait may be any
-    Peer there = provider(provider);
-    there.line();
-    there.send("UP r1\r\n");
+    Peer client = client(opening(key, 99_999_999, ",at=p" + provider)); // a handover may have any wait
+    Peer providerEnd = provider(provider);
+    providerEnd.line();
+    providerEnd.send("UP r1\r\n");
     client.line();
-    return new Peer[] {client, there};
+    return new Peer[] {client, providerEnd};
   }
 
   @Override
   public void close() throws IOException {
-    for (Peer peer : open) {
+    for (Peer peer : openConnections) {
       peer.socket.close();
     }
     for (ServerSocket provider : providers) {
@@ -259,7 +262,7 @@
     }
     directory.close();
     service.kill();
-    Files.delete(platform);
-    Files.delete(operator);
+    Files.delete(platformFile);
+    Files.delete(operatorFile);
   }
 }
