--- a/proxy/src/test/java/amberhoist/service/ReloadStoriesTest.java
+++ b/proxy/src/test/java/amberhoist/service/ReloadStoriesTest.java
@@ -16,16 +16,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Stories of SIGHUP with an operator's file: all or nothing, and nobody is cut off. */
+/** Reloads of the operator's file: a file takes effect as a whole or not at all, and no connection is closed. */
 class ReloadStoriesTest {
-  private static void until(Peers peers, Count count, long number) {
-    long end = System.nanoTime() + Peers.PATIENCE * 1_000_000L;
+  private static void awaitCount(Peers peers, Count count, long number) {
+    long deadline = System.nanoTime() + Peers.PATIENCE * 1_000_000L;
     while (peers.service.count(count) < number) {
-      assertTrue(System.nanoTime() < end, "no " + count);
+      assertTrue(System.nanoTime() < deadline, "too few: " + count);
     }
   }
 
-  private static void linesPass(List<Peer[]> pairs, String line) throws Exception {
+  private static void assertLinesRelayed(List<Peer[]> pairs, String line) throws Exception {
     for (Peer[] pair : pairs) {
       pair[0].send(line + "\r\n");
     }
@@ -37,46 +37,47 @@
   }
 
   @Test
-  void aFileThatIsBadInThreePlacesBringsThreeMessagesAndChangesNothing() throws Exception {
+  void fileWithThreeErrorsLogsThreeMessagesAndChangesNothing() throws Exception {
     PrintStream before = System.err;
-    ByteArrayOutputStream told = new ByteArrayOutputStream();
+    ByteArrayOutputStream log = new ByteArrayOutputStream();
     try (Peers peers = new Peers(1, 1024, "")) {
       List<Peer[]> pairs = List.<Peer[]>of(peers.joined("a", 0));
-      System.setErr(new PrintStream(told, true, StandardCharsets.UTF_8));
+      System.setErr(new PrintStream(log, true, StandardCharsets.UTF_8));
       peers.reloadWith("[line]\npings = 1\nping = 2\n[log]\nlevel = \"loud\"\n[stop]\nhold = 3\n");
-      until(peers, Count.RELOADS_REFUSED, 1);
+      awaitCount(peers, Count.RELOADS_REFUSED, 1);
       System.setErr(before);
-      String text = told.toString(StandardCharsets.UTF_8);
+      String text = log.toString(StandardCharsets.UTF_8);
       assertEquals(3, text.lines().filter(line -> line.contains("event=config.refused")).count(), text);
       for (String place : List.of(":3: line.ping", ":5: log.level", ":7: stop.hold")) {
         assertTrue(text.contains(place), text);
       }
       Peer client = peers.client("PING\r\nPING\r\n");
       assertEquals("PONG", client.line());
-      assertEquals("PONG", client.line(), "the good line beside the bad ones was not taken up either");
-      linesPass(pairs, "M 1");
+      assertEquals("PONG", client.line(), "the valid key beside the invalid ones did not take effect either");
+      assertLinesRelayed(pairs, "M 1");
     } finally {
       System.setErr(before);
     }
   }
 
   @Test
-  void aGoodFileIsTakenUpWhileServing() throws Exception {
+  void validFileTakesEffectWhileServing() throws Exception {
     try (Peers peers = new Peers(1, 1024, "")) {
       peers.reloadWith("[line]\npings = 1\n[sockets]\nbacklog = 7\n");
-      until(peers, Count.RELOADS, 1);
+      awaitCount(peers, Count.RELOADS, 1);
       Peer client = peers.client("PING\r\nPING\r\n");
       assertEquals("PONG", client.line());
       assertEquals("ERR", client.line());
       assertEquals(List.of("sockets.backlog"), peers.service.status().restartNeeded());
       peers.reloadWith("[line]\npings = 1\n[sockets]\nbacklog = 7\n");
-      until(peers, Count.RELOADS, 2);
-      assertEquals(List.of("sockets.backlog"), peers.service.status().restartNeeded(), "it still has the old one");
+      awaitCount(peers, Count.RELOADS, 2);
+      assertEquals(List.of("sockets.backlog"), peers.service.status().restartNeeded(),
+          "the running process still has the old value");
     }
   }
 
   @Test
-  void reloadsInQuickTurnWhileFiveHundredConnectionsStandLoseNone() throws Exception {
+  void rapidReloadsKeepFiveHundredConnections() throws Exception {
     try (Peers peers = new Peers(1, 4096, "")) {
       List<Peer[]> pairs = new ArrayList<>();
       for (int i = 0; i < 500; i++) {
@@ -85,16 +86,16 @@
       peers.reloadWith("[line]\npings = 3\n");
       peers.reloadWith("[line]\npings = 4\n"); // within milliseconds of the first
       peers.reloadWith("[line]\npings = 0\n");
-      until(peers, Count.RELOADS, 2);
-      until(peers, Count.RELOADS_REFUSED, 1);
-      linesPass(pairs, "M 1");
+      awaitCount(peers, Count.RELOADS, 2);
+      awaitCount(peers, Count.RELOADS_REFUSED, 1);
+      assertLinesRelayed(pairs, "M 1");
       assertEquals(500, peers.service.status().providers().get(0).standing());
       assertEquals(1000, peers.service.connections());
     }
   }
 
   @Test
-  void aReloadDuringAStopHarmsNeither() throws Exception {
+  void reloadDuringAStopCompletesBoth() throws Exception {
     try (Peers peers = new Peers(1, 1024, "")) {
       List<Peer[]> pairs = new ArrayList<>();
       for (int i = 0; i < 20; i++) {
@@ -107,8 +108,8 @@
       }
       peers.reloadWith("[line]\npings = 3\n");
       peers.reloadWith("[nothing]\n");
-      until(peers, Count.RELOADS, 1);
-      until(peers, Count.RELOADS_REFUSED, 1);
+      awaitCount(peers, Count.RELOADS, 1);
+      awaitCount(peers, Count.RELOADS_REFUSED, 1);
       for (Peer[] pair : pairs) {
         assertEquals("MOVE", pair[0].line());
         assertEquals("FIN", pair[0].line());
@@ -118,31 +119,31 @@
   }
 
   @Test
-  void aLimitLoweredBelowWhatIsInUseCutsNobodyOffAndMeetsNewWork() throws Exception {
+  void loweredDescriptorLimitKeepsConnectionsAndRejectsNewOnes() throws Exception {
     try (Peers peers = new Peers(1, 60, "")) {
       List<Peer[]> pairs = new ArrayList<>();
       peers.reloadWith("[limits]\ndescriptors = 60\n");
       peers.reloadWith("limits.descriptors", "400");
-      until(peers, Count.RELOADS, 2);
+      awaitCount(peers, Count.RELOADS, 2);
       for (int i = 0; i < 40; i++) {
         pairs.add(peers.joined("k" + i, 0)); // 80 descriptors: more than the first limit
       }
       peers.reloadWith("limits.descriptors", "64");
-      until(peers, Count.RELOADS, 3);
-      linesPass(pairs, "M 1");
+      awaitCount(peers, Count.RELOADS, 3);
+      assertLinesRelayed(pairs, "M 1");
       for (Peer[] pair : pairs.subList(0, 12)) {
-        pair[0].socket.close(); // still above the limit, but there is room to answer in
+        pair[0].socket.close(); // still above the limit, but with descriptors left to answer
         assertEquals("FIN", pair[1].line());
         pair[1].socket.close();
       }
-      List<Peer[]> left = pairs.subList(12, 40);
-      linesPass(left, "M 2");
-      peers.reloadWith("limits.descriptors", "84"); // room to accept and answer, not to serve
-      until(peers, Count.RELOADS, 4);
+      List<Peer[]> remaining = pairs.subList(12, 40);
+      assertLinesRelayed(remaining, "M 2");
+      peers.reloadWith("limits.descriptors", "84"); // enough to accept and answer, not to connect to a provider
+      awaitCount(peers, Count.RELOADS, 4);
       assertTrue(peers.client(opening("more", 2000, "")).line().startsWith("BUSY "));
-      linesPass(left, "M 3");
+      assertLinesRelayed(remaining, "M 3");
       peers.reloadWith("limits.descriptors", "400");
-      until(peers, Count.RELOADS, 5);
+      awaitCount(peers, Count.RELOADS, 5);
       peers.client(opening("again", 2000, ""));
       assertTrue(peers.provider(0).line().contains("again"));
     }
@@ -150,15 +151,15 @@
 
   @Test
   @Timeout(60)
-  void whoAsksAProxyThatEndsMeanwhileIsToldAndDoesNotWait() throws Exception {
+  void statusQueryFailsWhenTheProxyStopsMeanwhile() throws Exception {
     try (Peers peers = new Peers(1, 1024, "")) {
-      CompletableFuture<Throwable> asked;
-      try (Peers.Hold hold = peers.hold()) {
-        asked = CompletableFuture.supplyAsync(() -> assertThrows(RuntimeException.class, peers.service::status));
-        hold.next();
+      CompletableFuture<Throwable> query;
+      try (Peers.Hold pause = peers.hold()) {
+        query = CompletableFuture.supplyAsync(() -> assertThrows(RuntimeException.class, peers.service::status));
+        pause.next();
         peers.service.kill();
       }
-      assertTrue(asked.get().toString().contains("stopped"), asked.get().toString());
+      assertTrue(query.get().toString().contains("stopped"), query.get().toString());
     }
   }
 }
--- a/proxy/src/test/java/amberhoist/service/StoriesTest.java
+++ b/proxy/src/test/java/amberhoist/service/StoriesTest.java
@@ -11,10 +11,10 @@
 import java.util.List;
 import org.junit.Test;
 
-/** Stories over loopback sockets, each of one thing that must not go wrong. */
+/** Client connections through a proxy over loopback sockets, each test with one failure that must not occur. */
 public class StoriesTest {
   @Test
-  public void aClientIsServedThroughAndItsEndPassedOn() throws Exception {
+  public void relaysLinesBothWaysAndPropagatesTheEnd() throws Exception {
     try (Peers peers = new Peers(1)) {
       assertEquals("PONG", peers.client("PING\r\n").line());
       Peer client = peers.client(opening("7f3a", 2000, ",h=1,x=y"));
@@ -22,7 +22,7 @@
       String line = provider.line();
       assertTrue(line, line.matches("OPEN 9b1f7f3a 7f3a c=chat,t=acme,d=[0-9]+,g=5c0f,h=1,x=y"));
       int wait = Integer.parseInt(line.replaceAll(".*d=([0-9]+).*", "$1"));
-      assertTrue("waits for " + wait, wait > 100 && wait < 2000);
+      assertTrue("forwarded wait " + wait, wait > 100 && wait < 2000);
       provider.send("UP 77\r\nLOAD 5\r\n");
       assertEquals("UP 77", client.line());
       assertEquals("LOAD 5", client.line());
@@ -38,7 +38,7 @@
   }
 
   @Test
-  public void aResetIsPassedOnAsAResetBothWays() throws Exception {
+  public void propagatesAResetInBothDirections() throws Exception {
     try (Peers peers = new Peers(1)) {
       Peer[] first = peers.joined("a", 0);
       first[0].reset();
@@ -50,49 +50,49 @@
   }
 
   @Test
-  public void badFirstLinesGetErrAndNeverReachAProvider() throws Exception {
+  public void answersErrToInvalidFirstLinesAndContactsNoProvider() throws Exception {
     try (Peers peers = new Peers(1)) {
-      String well = opening("k", 2000, "").trim();
-      List<String> bad = List.of("\r\n", "HELLO\r\n", "OPEN\r\n", "OPEN a\r\n", "OPEN a b\r\n",
+      String valid = opening("k", 2000, "").trim();
+      List<String> invalid = List.of("\r\n", "HELLO\r\n", "OPEN\r\n", "OPEN a\r\n", "OPEN a b\r\n",
           "OPEN a b c\r\n", "OPEN  b c=chat,d=5\r\n", "OPEN a b c=chat,d=x\r\n", "OPEN a b c=chat,d=-5\r\n",
-          "OPEN a b d=5\r\n", "OPEN a b c=chat,d=5,d=6\r\n", "OPEN a b c=chat,,d=5\r\n", well + "\n",
-          well + " more\r\n",
-          well + "\r\nMORE\r\n", "OPEN a b c=none,t=acme,d=9\r\n", "OPEN a b c=chat,t=none,d=9\r\n",
-          "OPEN a b c=chat,d=900\r\n", well + ",x=\u00e9\r\n", well + ",h=-1\r\n", well + ",h=1e300\r\n",
+          "OPEN a b d=5\r\n", "OPEN a b c=chat,d=5,d=6\r\n", "OPEN a b c=chat,,d=5\r\n", valid + "\n",
+          valid + " more\r\n",
+          valid + "\r\nMORE\r\n", "OPEN a b c=none,t=acme,d=9\r\n", "OPEN a b c=chat,t=none,d=9\r\n",
+          "OPEN a b c=chat,d=900\r\n", valid + ",x=\u00e9\r\n", valid + ",h=-1\r\n", valid + ",h=1e300\r\n",
           "OPEN a b c=chat,t=acme,d=99999999999999999999\r\n", "OPEN a b c=chat,t=acme,d=900000000\r\n",
-          well + ",at=\r\n", opening("k", 3000, ",at=nobody"), "OPEN a b c=chat,d=5,x=\u0001\r\n",
-          well + ",x=" + "y".repeat(4096) + "\r\n", "z".repeat(5000));
-      for (String line : bad) {
+          valid + ",at=\r\n", opening("k", 3000, ",at=nobody"), "OPEN a b c=chat,d=5,x=\u0001\r\n",
+          valid + ",x=" + "y".repeat(4096) + "\r\n", "z".repeat(5000));
+      for (String line : invalid) {
         Peer client = peers.client(line);
         assertEquals(line, "ERR", client.line());
         assertTrue(line, List.of("FIN", "RESET").contains(client.line()));
       }
-      Peer unfinished = peers.client(well);
+      Peer unfinished = peers.client(valid);
       unfinished.socket.shutdownOutput();
       assertEquals("ERR", unfinished.line());
       peers.providers.get(0).setSoTimeout(100);
       try {
         peers.provider(0);
-        throw new AssertionError("a provider was called");
-      } catch (SocketTimeoutException none) {
-        assertEquals("all but nobody's", bad.size(), peers.service.count(Count.MALFORMED));
+        throw new AssertionError("a provider was contacted");
+      } catch (SocketTimeoutException noConnection) {
+        assertEquals("all but the one with at=nobody", invalid.size(), peers.service.count(Count.MALFORMED));
       }
     }
   }
 
   @Test
-  public void aClientThatDoesNotWaitOrTakesAnIdInUseGetsErrAndItsCallEnds() throws Exception {
+  public void answersErrToDataBeforeUpAndToAnIdInUse() throws Exception {
     try (Peers peers = new Peers(1)) {
       Peer eager = peers.client(opening("k", 2000, ""));
-      Peer called = peers.provider(0);
-      called.line();
-      Peer thief = peers.client(opening("k", 2000, ""));
-      assertEquals("ERR", thief.line());
+      Peer firstAttempt = peers.provider(0);
+      firstAttempt.line();
+      Peer duplicate = peers.client(opening("k", 2000, ""));
+      assertEquals("ERR", duplicate.line());
       eager.send("M 1\r\n");
       assertEquals("ERR", eager.line());
-      assertEquals("FIN", called.line());
-      assertEquals("none but the eager one's was called", 1, peers.service.count(Count.CALLS));
-      Peer again = peers.client(opening("k", 2000, "")); // the id is free again
+      assertEquals("FIN", firstAttempt.line());
+      assertEquals("the duplicate started no attempt", 1, peers.service.count(Count.CALLS));
+      Peer again = peers.client(opening("k", 2000, "")); // the id is no longer in use
       Peer provider = peers.provider(0);
       provider.line();
       provider.send("UP 4\r\n");
@@ -102,39 +102,39 @@
   }
 
   @Test
-  public void clientsWithoutAFirstLineAreEndedInTimeWhateverElseTheySend() throws Exception {
+  public void closesClientsWithoutAFirstLineWithin3Seconds() throws Exception {
     try (Peers peers = new Peers(1)) {
       long start = System.nanoTime();
       Peer silent = peers.client("");
-      Peer pings = peers.client("");
-      Peer trickle = peers.client("OPEN");
-      Peer many = peers.client("PING\r\n".repeat(400));
+      Peer pinging = peers.client("");
+      Peer trickling = peers.client("OPEN");
+      Peer flooding = peers.client("PING\r\n".repeat(400));
       for (int i = 0; i < 5; i++) {
-        assertEquals("PONG", pings.send("PING\r\n").line());
-        trickle.send(" ");
+        assertEquals("PONG", pinging.send("PING\r\n").line());
+        trickling.send(" ");
         silent.socket.setSoTimeout(300);
         try {
           silent.line();
         } catch (SocketTimeoutException waiting) {
-          // both clients go on a little later
+          // the other clients send again after this pause
         }
       }
       silent.socket.setSoTimeout(Peers.PATIENCE);
-      for (Peer peer : List.of(silent, pings, trickle)) {
-        assertEquals("who has begun nothing may be about to", peer == trickle ? "ERR" : "BUSY", peer.line());
+      for (Peer peer : List.of(silent, pinging, trickling)) {
+        assertEquals("a first line may follow where none has begun", peer == trickling ? "ERR" : "BUSY", peer.line());
         assertTrue(List.of("FIN", "RESET").contains(peer.line()));
       }
       assertTrue("within 3 s of connecting", System.nanoTime() - start < 2_900_000_000L);
-      String last = many.line();
-      for (String line = last; line.equals("PONG"); line = many.line()) {
+      String last = flooding.line();
+      for (String line = last; line.equals("PONG"); line = flooding.line()) {
         last = line;
       }
-      assertEquals("answers to PING are bounded", 1, peers.service.count(Count.PINGED) / 17);
+      assertEquals("the number of answers to PING is bounded", 1, peers.service.count(Count.PINGED) / 17);
     }
   }
 
   @Test
-  public void anEndlessLineGetsErrAndIsNotTakenIn() throws Exception {
+  public void closesAClientWhoseFirstLineNeverEnds() throws Exception {
     try (Peers peers = new Peers(1)) {
       Peer client = peers.client("OPEN a b c=chat,t=acme,d=900,x=");
       byte[] part = "y".repeat(1 << 16).getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
@@ -144,68 +144,68 @@
           client.socket.getOutputStream().write(part);
         }
       } catch (java.io.IOException closed) {
-        assertTrue("what the sockets hold and little more", parts < 60 << 3);
+        assertTrue("little more is taken than the sockets buffer", parts < 60 << 3);
       }
-      assertTrue("cut off", parts < 60 << 4);
+      assertTrue("the connection is closed", parts < 60 << 4);
     }
   }
 
   @Test
-  public void silentClientsGiveWayToUsualOnes() throws Exception {
+  public void evictsSilentClientsToMakeRoomForRequests() throws Exception {
     try (Peers peers = new Peers(1, 24 + 24)) {
       List<Peer> silent = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
         silent.add(peers.client(""));
-        Peer usual = peers.client(opening("k" + i, 2000, ""));
+        Peer requesting = peers.client(opening("k" + i, 2000, ""));
         Peer provider = peers.provider(0);
         provider.line();
         provider.send("UP 1\r\n");
-        assertEquals("UP 1", usual.line());
-        usual.socket.close();
-        assertEquals("it was the client that left", "FIN", provider.line());
+        assertEquals("UP 1", requesting.line());
+        requesting.socket.close();
+        assertEquals("the client closed the connection", "FIN", provider.line());
         provider.socket.close();
       }
-      assertEquals("the oldest goes first, and is told so", "BUSY 500", silent.get(0).line());
+      assertEquals("the oldest is evicted first and gets an answer", "BUSY 500", silent.get(0).line());
       assertTrue(List.of("FIN", "RESET").contains(silent.get(0).line()));
       assertEquals(0, peers.service.count(Count.CROWDED_OUT));
     }
   }
 
   @Test
-  public void aMalformedAnswerIsTheCallsErrorAndTheNextCallComesAfterItsEnd() throws Exception {
+  public void retriesElsewhereAfterAMalformedAnswerWasClosed() throws Exception {
     try (Peers peers = new Peers(2)) {
       Peer client = peers.client(opening("k", 2000, ""));
-      List<Peer> called = new ArrayList<>();
-      int at = anyProvider(peers, called);
-      called.get(0).send("WHAT IS THIS\r\n");
-      assertTrue(List.of("FIN", "RESET").contains(called.get(0).line()));
-      Peer next = peers.provider(1 - at);
+      List<Peer> attempts = new ArrayList<>();
+      int firstProvider = acceptAtEitherProvider(peers, attempts);
+      attempts.get(0).send("WHAT IS THIS\r\n");
+      assertTrue(List.of("FIN", "RESET").contains(attempts.get(0).line()));
+      Peer next = peers.provider(1 - firstProvider);
       next.line();
       next.send("UP 5\r\n");
       assertEquals("UP 5", client.line());
     }
   }
 
-  /** Takes the next call at whichever of two providers it comes to, and reads its line. */
-  private static int anyProvider(Peers peers, List<Peer> called) throws Exception {
-    for (int turn = 0; turn < Peers.PATIENCE / 20; turn++) {
-      peers.providers.get(turn % 2).setSoTimeout(20);
+  /** Accepts the next attempt at either of two providers, reads its request, and returns the provider's index. */
+  private static int acceptAtEitherProvider(Peers peers, List<Peer> attempts) throws Exception {
+    for (int i = 0; i < Peers.PATIENCE / 20; i++) {
+      peers.providers.get(i % 2).setSoTimeout(20);
       try {
-        Peer peer = peers.provider(turn % 2);
-        peers.providers.get(turn % 2).setSoTimeout(Peers.PATIENCE);
-        peers.providers.get(1 - turn % 2).setSoTimeout(Peers.PATIENCE);
+        Peer peer = peers.provider(i % 2);
+        peers.providers.get(i % 2).setSoTimeout(Peers.PATIENCE);
+        peers.providers.get(1 - i % 2).setSoTimeout(Peers.PATIENCE);
         peer.line();
-        called.add(peer);
-        return turn % 2;
-      } catch (SocketTimeoutException other) {
+        attempts.add(peer);
+        return i % 2;
+      } catch (SocketTimeoutException noConnection) {
         continue;
       }
     }
-    throw new AssertionError("no call came");
+    throw new AssertionError("no attempt was started");
   }
 
   @Test
-  public void aRejectionComesAtOnceAndTellsWhenToComeBack() throws Exception {
+  public void rejectsAtOnceWithARetryAfter() throws Exception {
     try (Peers peers = new Peers(1)) {
       long start = System.nanoTime();
       Peer client = peers.client(opening("k", 3000, ""));
@@ -221,7 +221,7 @@
   }
 
   @Test
-  public void aProviderThatNeverAnswersCostsNoAnswerToTheClient() throws Exception {
+  public void answersBusyBeforeTheDeadlineIfTheProviderNeverAnswers() throws Exception {
     try (Peers peers = new Peers(1)) {
       long start = System.nanoTime();
       Peer client = peers.client(opening("k", 700, ""));
@@ -229,32 +229,33 @@
       provider.line();
       assertTrue(client.line().startsWith("BUSY"));
       assertTrue("before its deadline", System.nanoTime() - start < 700_000_000L);
-      assertEquals("and the call is closed", "FIN", provider.line());
+      assertEquals("the attempt is closed", "FIN", provider.line());
     }
   }
 
   @Test
-  public void aClientThatLeavesEndsItsCallAndGetsItsOneAnswer() throws Exception {
+  public void clientThatClosesItsOutputGetsErrAndItsAttemptEnds() throws Exception {
     try (Peers peers = new Peers(1)) {
       Peer client = peers.client(opening("k", 3000, ""));
       Peer provider = peers.provider(0);
       provider.line();
       client.socket.shutdownOutput();
-      assertEquals("no promise: it may have run", "ERR", client.line());
+      assertEquals("the request may have run, so no BUSY", "ERR", client.line());
       assertEquals("FIN", client.line());
       assertEquals("FIN", provider.line());
       assertEquals(1, peers.service.count(Count.CLIENT_LEFT));
     }
   }
 
+  /** Clients of a silent provider must move within 7 s; this allows 5 s after the last returned line. */
   @Test
-  public void aSilentProviderLosesItsClientsToAMoveWithinSevenSeconds() throws Exception {
+  public void movesClientsOfASilentProviderInTime() throws Exception {
     try (Peers peers = new Peers(1)) {
       Peer[] pair = peers.joined("k", 0);
       pair[0].send("M 1\r\n");
       assertEquals("M 1", pair[1].line());
       long start = System.nanoTime();
-      pair[1].send("LOAD 12\r\n"); // tells of its load still, but returns no line
+      pair[1].send("LOAD 12\r\n"); // still reports its load, but returns no line
       assertEquals("LOAD 12", pair[0].line());
       assertEquals("MOVE", pair[0].line());
       assertTrue(System.nanoTime() - start < 5_000_000_000L);
@@ -264,14 +265,14 @@
   }
 
   @Test
-  public void aVanishedMachineLosesAllItsClientsAsSoonAsTwoLinesGoUnanswered() throws Exception {
+  public void movesAllClientsOfAProviderOnceTwoLinesAreUnanswered() throws Exception {
     try (Peers peers = new Peers(2)) {
-      List<Peer[]> there = List.of(peers.joined("a", 0), peers.joined("b", 0), peers.joined("c", 0));
+      List<Peer[]> pairs = List.of(peers.joined("a", 0), peers.joined("b", 0), peers.joined("c", 0));
       Peer[] elsewhere = peers.joined("d", 1);
       long start = System.nanoTime();
-      there.get(0)[0].send("M 1\r\n");
-      there.get(1)[0].send("M 1\r\n");
-      for (Peer[] pair : there) {
+      pairs.get(0)[0].send("M 1\r\n");
+      pairs.get(1)[0].send("M 1\r\n");
+      for (Peer[] pair : pairs) {
         assertEquals("MOVE", pair[0].line());
       }
       assertTrue(System.nanoTime() - start < 1_100_000_000L);
@@ -281,7 +282,7 @@
   }
 
   @Test
-  public void manyLinesToASlowReaderArriveWhole() throws Exception {
+  public void relaysManyLinesToASlowReaderWhole() throws Exception {
     try (Peers peers = new Peers(1)) {
       Peer[] pair = peers.joined("k", 0);
       String line = "M " + "x".repeat(3000);
@@ -291,7 +292,7 @@
           for (int i = 0; i < count; i++) {
             pair[0].send(line + i + "\r\n");
           }
-        } catch (java.io.IOException ended) {
+        } catch (java.io.IOException closed) {
           // the reader then misses lines
         }
       });
@@ -300,7 +301,7 @@
         assertEquals(line + i, pair[1].line());
         if (i % 1000 == 0) {
           pair[1].send("E " + i + "\r\n");
-          assertEquals("the other way is open meanwhile", "E " + i, pair[0].line());
+          assertEquals("the other direction is not blocked", "E " + i, pair[0].line());
         }
       }
       writer.join();
@@ -308,7 +309,7 @@
   }
 
   @Test
-  public void clientsBeyondTheDescriptorsAreRejectedAndServedAgainLater() throws Exception {
+  public void rejectsClientsBeyondTheDescriptorLimitUntilOthersEnd() throws Exception {
     try (Peers peers = new Peers(1, 24 + 16 + 6)) {
       List<Peer[]> pairs = new ArrayList<>();
       for (int i = 0; i < 3; i++) {
@@ -320,7 +321,7 @@
         assertEquals("FIN", pair[1].line());
         pair[1].socket.close();
       }
-      for (int tries = 0; tries < 100; tries++) { // until the proxy has seen all of their ends
+      for (int tries = 0; tries < 100; tries++) { // until the proxy has processed all closed connections
         Peer client = peers.client("PING\r\n");
         assertEquals("PONG", client.line());
         client.socket.close();
@@ -334,19 +335,19 @@
   }
 
   @Test
-  public void loadReportsAreAskedForOnConnectionsOfTheirOwnAndSpoiltOnesTellNothing() throws Exception {
+  public void fetchesLoadReportsSeparatelyAndIgnoresInvalidOnes() throws Exception {
     try (Peers peers = new Peers(3)) {
-      String many = peers.config(peers.directory).replace("\"settings\":{", "\"settings\":{\"balancers\":50,"
+      String config = peers.config(peers.directory).replace("\"settings\":{", "\"settings\":{\"balancers\":50,"
           + "\"reporting\":{\"fields\":[\"x0\"],\"source\":\"probe\"},")
           .replace("\"max-attempts\"", "\"probing\":true,\"max-attempts\"");
-      peers.reload(many);
+      peers.reload(config);
       peers.client(opening("k", 3000, ""));
       List<String> answers = List.of("PONG x0=0.5\r\n", "PONG what\r\n", "x".repeat(5000));
       for (int i = 0; i < answers.size(); i++) {
-        Peer asked = peers.provider(i);
-        assertEquals("STATS", asked.line());
-        asked.send(answers.get(i));
-        String end = asked.line();
+        Peer reportConnection = peers.provider(i);
+        assertEquals("STATS", reportConnection.line());
+        reportConnection.send(answers.get(i));
+        String end = reportConnection.line();
         assertTrue(end, List.of("FIN", "RESET").contains(end));
       }
       while (peers.service.count(Count.REPORTS) < 1) {
--- a/proxy/src/test/java/amberhoist/service/UpgradeStoriesTest.java
+++ b/proxy/src/test/java/amberhoist/service/UpgradeStoriesTest.java
@@ -19,13 +19,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Stories of a new version started beside the old one, on the same address and with the same folder. */
+/** A new version started beside the old one, on the same address and with the same folder for the upgrade record. */
 @Timeout(90)
 class UpgradeStoriesTest {
   @TempDir
   Path folder;
 
-  /** One of the two: its configuration is that of the peers, but for where it listens. */
+  /** Starts a proxy with the configuration of the peers, but with its own port, management API and folder. */
   private Service start(Peers peers, int port) throws Exception {
     Path file = folder.resolve("config.json");
     Files.writeString(file, peers.config(peers.directory));
@@ -39,11 +39,11 @@
     }
   }
 
-  private static String call(Service service, String method, String path) throws Exception {
+  private static String requestStatus(Service service, String method, String path) throws Exception {
     return ManagementStoriesTest.call(service, method + ' ' + path + " HTTP/1.1\r\n\r\n").status();
   }
 
-  private static JsonNode figures(Service service) throws Exception {
+  private static JsonNode metrics(Service service) throws Exception {
     return ManagementStoriesTest.figures(service);
   }
 
@@ -51,34 +51,34 @@
     return new Peer(new Socket(InetAddress.getLoopbackAddress(), port)).send(text);
   }
 
-  /** So many clients, served by this provider. */
-  private static List<Peer> standing(Peers peers, int port, int count, int provider) throws Exception {
-    List<Peer> standing = new ArrayList<>();
+  /** Establishes {@code count} connections from clients to the given provider. */
+  private static List<Peer> establish(Peers peers, int port, int count, int provider) throws Exception {
+    List<Peer> clients = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      standing.add(client(port, Peers.opening("s" + i, 9000, ",at=p" + provider)));
-      Peer there = peers.provider(provider);
-      there.line();
-      there.send("UP r\r\n");
-      assertEquals("UP r", standing.get(i).line());
+      clients.add(client(port, Peers.opening("s" + i, 9000, ",at=p" + provider)));
+      Peer providerEnd = peers.provider(provider);
+      providerEnd.line();
+      providerEnd.send("UP r\r\n");
+      assertEquals("UP r", clients.get(i).line());
     }
-    return standing;
+    return clients;
   }
 
   @Test
-  void clientsAreMovedAtOnceToASuccessorAndTheListenerIsItsAlone() throws Exception {
+  void stopMovesClientsAtOnceToASuccessorThatListensAlone() throws Exception {
     try (Peers peers = new Peers(1)) {
       int port = freePort();
       Service old = start(peers, port);
-      List<Peer> standing = standing(peers, port, 30, 0);
-      Service fresh = start(peers, port);
-      assertEquals("200", call(fresh, "GET", "/v1/readyz"));
+      List<Peer> clients = establish(peers, port, 30, 0);
+      Service successor = start(peers, port);
+      assertEquals("200", requestStatus(successor, "GET", "/v1/readyz"));
       Thread stop = new Thread(old::stop);
       stop.start();
-      for (Peer client : standing) {
+      for (Peer client : clients) {
         assertEquals("MOVE", client.line());
         assertEquals("FIN", client.line());
         client.socket.close();
-        Peer again = client(port, "PING\r\n"); // the listener of the old one is closed, or serves
+        Peer again = client(port, "PING\r\n"); // the old listener is closed or still serves
         assertEquals("PONG", again.line());
         again.socket.close();
       }
@@ -86,78 +86,78 @@
       for (int i = 0; i < 20; i++) {
         assertEquals("PONG", client(port, "PING\r\n").line());
       }
-      fresh.kill();
+      successor.kill();
     }
   }
 
-  /** Guards against a successor that spreads the clients of a group over providers that had none of it. */
+  /** A successor without affinity entries would spread a group's clients over providers that served none of them. */
   @Test
-  void clientsComeBackThroughTheSuccessorToWhereTheyStood() throws Exception {
+  void clientsReturnThroughTheSuccessorToTheSameProvider() throws Exception {
     try (Peers peers = new Peers(4)) {
       int port = freePort();
       Service old = start(peers, port);
-      List<Peer> standing = standing(peers, port, 12, 3);
-      Service fresh = start(peers, port);
+      List<Peer> clients = establish(peers, port, 12, 3);
+      Service successor = start(peers, port);
       Thread stop = new Thread(old::stop);
       stop.start();
-      for (Peer client : standing) {
+      for (Peer client : clients) {
         assertEquals("MOVE", client.line());
       }
       stop.join();
       for (int i = 0; i < 12; i++) {
         client(port, Peers.opening("s" + i, 3000, ",again=1"));
-        Peer there = peers.provider(3);
-        String line = there.line();
-        there.send("UP r\r\n");
+        Peer providerEnd = peers.provider(3);
+        String line = providerEnd.line();
+        providerEnd.send("UP r\r\n");
         assertTrue(line.contains(" s" + i + " "), line);
       }
-      fresh.kill();
+      successor.kill();
     }
   }
 
   @Test
-  void aCallAtEitherDoorCountsForBothAndForWhoComesAfter() throws Exception {
+  void suspensionsAreSharedByBothProcessesAndASuccessor() throws Exception {
     try (Peers peers = new Peers(2)) {
       int port = freePort();
       Service old = start(peers, port);
-      assertEquals("200", call(old, "PUT", "/v1/viewer-hosts/p0/suspend"));
-      Service fresh = start(peers, port);
-      assertEquals(1, figures(fresh).path("viewer_hosts_excluded").asInt(), "known from the start on");
-      assertEquals("200", call(fresh, "PUT", "/v1/viewer-hosts/p1/suspend"));
-      while (figures(old).path("viewer_hosts_excluded").asInt() != 2) {
+      assertEquals("200", requestStatus(old, "PUT", "/v1/viewer-hosts/p0/suspend"));
+      Service successor = start(peers, port);
+      assertEquals(1, metrics(successor).path("viewer_hosts_excluded").asInt(), "known from the start");
+      assertEquals("200", requestStatus(successor, "PUT", "/v1/viewer-hosts/p1/suspend"));
+      while (metrics(old).path("viewer_hosts_excluded").asInt() != 2) {
         Thread.onSpinWait();
       }
-      assertEquals("200", call(old, "PUT", "/v1/viewer-hosts/p0/resume"));
-      while (figures(fresh).path("viewer_hosts_excluded").asInt() != 1) {
+      assertEquals("200", requestStatus(old, "PUT", "/v1/viewer-hosts/p0/resume"));
+      while (metrics(successor).path("viewer_hosts_excluded").asInt() != 1) {
         Thread.onSpinWait();
       }
       old.kill();
-      fresh.kill();
+      successor.kill();
       Service last = start(peers, port);
-      assertEquals(1, figures(last).path("viewer_hosts_excluded").asInt());
+      assertEquals(1, metrics(last).path("viewer_hosts_excluded").asInt());
       last.kill();
     }
   }
 
   @Test
-  void aSuspensionThatCannotBeKeptGetsANoAndDoesNotHold() throws Exception {
+  void rejectsASuspensionThatCannotBeStored() throws Exception {
     try (Peers peers = new Peers(1)) {
       Service service = start(peers, freePort());
       Files.writeString(folder.resolve("amberhoist.handover"), "{\"version\":99}");
-      assertEquals("503", call(service, "PUT", "/v1/viewer-hosts/p0/suspend"));
-      assertEquals(0, figures(service).path("viewer_hosts_excluded").asInt());
+      assertEquals("503", requestStatus(service, "PUT", "/v1/viewer-hosts/p0/suspend"));
+      assertEquals(0, metrics(service).path("viewer_hosts_excluded").asInt());
       service.kill();
     }
   }
 
   @Test
-  void aFolderThatIsNotThereCostsNoStart() throws Exception {
+  void startsAlthoughTheFolderDoesNotExist() throws Exception {
     try (Peers peers = new Peers(1)) {
       Path file = folder.resolve("config.json");
       Files.writeString(file, peers.config(peers.directory));
       Service service = Service.start(Config.load(Map.of("LB_CONFIG", file.toString(), "LB_MGMT", "127.0.0.1:0",
           "TMPDIR", folder.resolve("nowhere").toString()), new Clock()));
-      assertEquals("200", call(service, "GET", "/v1/readyz"));
+      assertEquals("200", requestStatus(service, "GET", "/v1/readyz"));
       service.kill();
     }
   }
