--- a/proxy/src/test/java/amberhoist/cli/DayByDayTest.java
+++ b/proxy/src/test/java/amberhoist/cli/DayByDayTest.java
@@ -22,23 +22,23 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What operators do, on real processes: start, suspend, a new version under open connections, resume, stop. The
- * figures are compared with what the clients and providers here have seen.
+ * The operations of a deployment on real processes: start, suspend, an upgrade with open connections, resume, stop. The
+ * metrics of the management API are compared with what the test's clients and providers have counted.
  */
 @Timeout(120)
 class DayByDayTest {
   private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
-  private static final int PATIENCE = 20_000;
-  private static final int CLIENTS = 20;
+  private static final int TIMEOUT_MILLIS = 20_000;
+  private static final int CLIENT_COUNT = 20;
 
   @TempDir
   private Path folder;
 
-  /** Answers UP to each first line, returns every other line, and ends when its client does. */
+  /** A provider that answers each first line with UP, echoes every other line and closes when its client does. */
   private static final class Provider implements AutoCloseable {
     final ServerSocket server = new ServerSocket(0, 64, LOOPBACK);
-    final AtomicInteger opened = new AtomicInteger();
-    final AtomicInteger standing = new AtomicInteger();
+    final AtomicInteger requestCount = new AtomicInteger();
+    final AtomicInteger connectionCount = new AtomicInteger();
 
     Provider() throws IOException {
       Thread accepting = new Thread(() -> {
@@ -60,16 +60,16 @@
     private void serve(Socket socket) {
       try (socket; BufferedReader in = reader(socket)) {
         if (in.readLine() != null) {
-          opened.incrementAndGet();
-          standing.incrementAndGet();
+          requestCount.incrementAndGet();
+          connectionCount.incrementAndGet();
           write(socket, "UP r\r\n");
           for (String line = in.readLine(); line != null; line = in.readLine()) {
             write(socket, line + "\r\n");
           }
-          standing.decrementAndGet();
+          connectionCount.decrementAndGet();
         }
-      } catch (IOException gone) {
-        standing.decrementAndGet();
+      } catch (IOException closed) {
+        connectionCount.decrementAndGet();
       }
     }
 
@@ -87,7 +87,7 @@
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** A client that comes again, with the same key, whenever it is moved. */
+  /** A client that reconnects with the same key whenever it receives MOVE. */
   private final class Client {
     final String key;
     Socket socket;
@@ -98,18 +98,18 @@
       open("");
     }
 
-    void open(String more) throws IOException {
+    void open(String extraFields) throws IOException {
       socket = new Socket(LOOPBACK, port);
-      socket.setSoTimeout(PATIENCE);
+      socket.setSoTimeout(TIMEOUT_MILLIS);
       in = reader(socket);
-      write(socket, "OPEN " + Integer.toHexString(ids.incrementAndGet()) + ' ' + key
-          + " c=scan-tiles,t=acme,d=3000,g=" + key + more + "\r\n");
+      write(socket, "OPEN " + Integer.toHexString(nextId.incrementAndGet()) + ' ' + key
+          + " c=scan-tiles,t=acme,d=3000,g=" + key + extraFields + "\r\n");
       assertEquals("UP r", in.readLine());
-      ups++;
+      upCount++;
     }
 
-    /** Whether it still stands; it does not when it was told to move, and then it comes again. */
-    boolean stood() throws IOException {
+    /** Sends a line and returns true if the provider echoes it; reconnects and returns false at MOVE. */
+    boolean echoesOrReconnects() throws IOException {
       write(socket, "M\r\n");
       String line = in.readLine();
       if ("M".equals(line)) {
@@ -122,9 +122,9 @@
     }
   }
 
-  private final AtomicInteger ids = new AtomicInteger();
+  private final AtomicInteger nextId = new AtomicInteger();
   private int port;
-  private int ups;
+  private int upCount;
 
   private static int freePort() throws IOException {
     try (ServerSocket any = new ServerSocket(0, 1, LOOPBACK)) {
@@ -132,48 +132,48 @@
     }
   }
 
-  private Process start(Path config, int door) throws IOException {
-    List<String> line = List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+  private Process start(Path config, int managementPort) throws IOException {
+    List<String> command = List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
         "-XX:+UseSerialGC", "--add-opens", "java.base/sun.nio.ch=ALL-UNNAMED", "-cp",
         System.getProperty("java.class.path"), "amberhoist.cli.Main", "serve");
-    ProcessBuilder builder = new ProcessBuilder(line).redirectErrorStream(true)
-        .redirectOutput(folder.resolve("log" + door).toFile());
+    ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
+        .redirectOutput(folder.resolve("log" + managementPort).toFile());
     builder.environment().keySet().removeIf(name -> name.startsWith("LB_") || name.startsWith("AMBERHOIST_"));
     builder.environment().put("LB_CONFIG", config.toString());
     builder.environment().put("LB_LISTEN", "127.0.0.1:" + port);
-    builder.environment().put("LB_MGMT", "127.0.0.1:" + door);
+    builder.environment().put("LB_MGMT", "127.0.0.1:" + managementPort);
     builder.environment().put("TMPDIR", folder.toString());
     return builder.start();
   }
 
-  private static String call(int door, String method, String path) throws IOException {
-    try (Socket socket = new Socket(LOOPBACK, door)) {
-      socket.setSoTimeout(PATIENCE);
+  private static String request(int managementPort, String method, String path) throws IOException {
+    try (Socket socket = new Socket(LOOPBACK, managementPort)) {
+      socket.setSoTimeout(TIMEOUT_MILLIS);
       write(socket, method + ' ' + path + " HTTP/1.1\r\n\r\n");
-      String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-      if (answer.isEmpty()) {
+      String response = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+      if (response.isEmpty()) {
         throw new IOException("the process ended");
       }
-      return answer;
+      return response;
     }
   }
 
-  private static void ready(Process process, int door) {
+  private static void awaitReady(Process process, int managementPort) {
     while (true) {
       try {
-        if (call(door, "GET", "/v1/readyz").startsWith("HTTP/1.1 200")) {
+        if (request(managementPort, "GET", "/v1/readyz").startsWith("HTTP/1.1 200")) {
           return;
         }
       } catch (IOException notYet) {
-        assertTrue(process.isAlive(), "it ended at its start");
+        assertTrue(process.isAlive(), "the process ended during its start");
       }
       Thread.onSpinWait();
     }
   }
 
-  private static JsonNode figures(int door) throws IOException {
-    String answer = call(door, "GET", "/v1/metrics");
-    return new ObjectMapper().readTree(answer.substring(answer.indexOf("\r\n\r\n")));
+  private static JsonNode metrics(int managementPort) throws IOException {
+    String response = request(managementPort, "GET", "/v1/metrics");
+    return new ObjectMapper().readTree(response.substring(response.indexOf("\r\n\r\n")));
   }
 
   private static void terminate(Process process) throws Exception {
@@ -186,80 +186,80 @@
   }
 
   @Test
-  void aDayOfOperations() throws Exception {
+  void keepsClientsAndCountsThroughSuspendUpgradeAndResume() throws Exception {
     port = freePort();
-    int first = freePort();
-    int second = freePort();
+    int oldPort = freePort();
+    int successorPort = freePort();
     Process old = null;
-    Process fresh = null;
+    Process successor = null;
     try (Provider p0 = new Provider(); Provider p1 = new Provider()) {
       String example = Files.readString(Path.of("../example/config.json"));
       Path config = Files.writeString(folder.resolve("config.json"), example
           .replaceAll("(?s)\"endpoints\": \\[.*?\\]",
               "\"endpoints\": [" + entry("p0", p0) + "," + entry("p1", p1) + "]")
           .replace("127.0.0.1:8500", "127.0.0.1:1"));
-      old = start(config, first);
-      ready(old, first);
+      old = start(config, oldPort);
+      awaitReady(old, oldPort);
       List<Client> clients = new ArrayList<>();
-      for (int i = 0; i < CLIENTS; i++) {
+      for (int i = 0; i < CLIENT_COUNT; i++) {
         clients.add(new Client("k" + i));
       }
-      JsonNode figures = figures(first);
-      assertEquals(CLIENTS, figures.path("served").path("scan-tiles").asInt(), figures.toString());
-      assertEquals(0, figures.path("served").path("depth-picks").asInt(-1));
-      assertEquals(p0.opened.get() + p1.opened.get(), figures.path("attempts").asInt());
-      assertEquals(CLIENTS, figures.path("in_flight").asInt());
+      JsonNode metrics = metrics(oldPort);
+      assertEquals(CLIENT_COUNT, metrics.path("served").path("scan-tiles").asInt(), metrics.toString());
+      assertEquals(0, metrics.path("served").path("depth-picks").asInt(-1));
+      assertEquals(p0.requestCount.get() + p1.requestCount.get(), metrics.path("attempts").asInt());
+      assertEquals(CLIENT_COUNT, metrics.path("in_flight").asInt());
 
-      assertTrue(call(first, "PUT", "/v1/viewer-hosts/p0/suspend").startsWith("HTTP/1.1 200"));
-      int before = p0.opened.get();
-      while (p0.standing.get() > 0) {
+      assertTrue(request(oldPort, "PUT", "/v1/viewer-hosts/p0/suspend").startsWith("HTTP/1.1 200"));
+      int requestsBefore = p0.requestCount.get();
+      while (p0.connectionCount.get() > 0) {
         for (Client client : clients) {
-          client.stood();
+          client.echoesOrReconnects();
         }
       }
-      assertEquals(before, p0.opened.get(), "nothing new went to what was taken out");
+      assertEquals(requestsBefore, p0.requestCount.get(), "a suspended provider gets no new request");
 
-      fresh = start(config, second);
-      ready(fresh, second);
-      assertEquals(1, figures(second).path("viewer_hosts_excluded").asInt(), "it is out there too");
+      successor = start(config, successorPort);
+      awaitReady(successor, successorPort);
+      assertEquals(1, metrics(successorPort).path("viewer_hosts_excluded").asInt(), "suspended in the successor too");
       terminate(old);
       List<Client> moving = new ArrayList<>(clients);
-      JsonNode last = figures(first);
+      JsonNode lastMetrics = metrics(oldPort);
       while (!moving.isEmpty()) {
-        List<Client> stay = new ArrayList<>();
+        List<Client> remaining = new ArrayList<>();
         for (Client client : moving) {
-          if (client.stood()) {
-            stay.add(client);
+          if (client.echoesOrReconnects()) {
+            remaining.add(client);
           }
         }
-        moving = stay;
+        moving = remaining;
       }
       try {
         while (true) {
-          last = figures(first);
+          lastMetrics = metrics(oldPort);
         }
       } catch (IOException ended) {
-        assertEquals(0, old.waitFor(), "the old one ends by itself, in good order");
+        assertEquals(0, old.waitFor(), "the old process exits by itself with status 0");
       }
       for (Client client : clients) {
-        client.stood(); // one that came back before the old one left the address was served there, and moved again
+        client.echoesOrReconnects(); // it may have reconnected to the old process, which then moved it again
       }
-      assertEquals(before, p0.opened.get(), "also not through the new one");
-      assertEquals(CLIENTS, figures(second).path("in_flight").asInt());
-      int served = last.path("served").path("scan-tiles").asInt() + figures(second).path("served").path("scan-tiles")
-          .asInt();
-      assertEquals(ups, served, "each UP was counted by one of the two");
-      assertEquals(p0.opened.get() + p1.opened.get(), last.path("attempts").asInt()
-          + figures(second).path("attempts").asInt());
+      assertEquals(requestsBefore, p0.requestCount.get(), "no request through the successor either");
+      assertEquals(CLIENT_COUNT, metrics(successorPort).path("in_flight").asInt());
+      int served = lastMetrics.path("served").path("scan-tiles").asInt()
+          + metrics(successorPort).path("served").path("scan-tiles").asInt();
+      assertEquals(upCount, served, "each UP was counted by one of the two processes");
+      assertEquals(p0.requestCount.get() + p1.requestCount.get(), lastMetrics.path("attempts").asInt()
+          + metrics(successorPort).path("attempts").asInt());
 
-      assertTrue(call(second, "PUT", "/v1/viewer-hosts/p0/resume").startsWith("HTTP/1.1 200"));
-      while (p0.opened.get() == before) {
+      assertTrue(request(successorPort, "PUT", "/v1/viewer-hosts/p0/resume").startsWith("HTTP/1.1 200"));
+      while (p0.requestCount.get() == requestsBefore) {
         clients.add(new Client("more" + clients.size()));
       }
-      terminate(fresh);
-      assertEquals(0, fresh.waitFor());
+      terminate(successor);
+      assertEquals(0, successor.waitFor());
     } finally {
-      for (Process process : new Process[] {old, fresh}) {
+      for (Process process : new Process[] {old, successor}) {
         if (process != null) {
           process.destroyForcibly();
         }
--- a/proxy/src/test/java/amberhoist/cli/FleetRampTest.java
+++ b/proxy/src/test/java/amberhoist/cli/FleetRampTest.java
@@ -20,136 +20,138 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Several processes of the program, which know nothing of each other, fill a provider that has just started: what all
- * of them send it stays within the budget that the settings give it, by what those that are warm take.
+ * Several proxy harness that do not communicate send requests to a provider that has just started. All together must
+ * stay within its warm-up budget, a growing fraction of what a warm provider receives.
  */
 @Timeout(120)
 class FleetRampTest {
-  private static final int PROXIES = 4;
-  private static final int WARM = 3;
-  private static final double MULTIPLE = 1; // with more, the load check alone would keep within the budget
-  private static final double SHARE = 0.1; // of its capacity, at the start
-  private static final long COLD = 60_000_000_000L;
-  private static final long WINDOW = 1_000_000_000L;
-  private static final int ENOUGH = 3000; // connections at one provider: seconds of them
+  private static final int PROXY_COUNT = 4;
+  private static final int WARM_PROVIDER_COUNT = 3;
+  private static final double OVERLOAD_FACTOR = 1; // with more, the load check alone would keep within the budget
+  private static final double COLD_CAPACITY_FRACTION = 0.1; // of a provider's capacity, at its start
+  private static final long WARM_UP_NANOS = 60_000_000_000L;
+  private static final long WINDOW_NANOS = 1_000_000_000L;
+  private static final int REQUEST_COUNT = 3000; // at one provider: several seconds
 
   @TempDir
   private Path folder;
 
-  private final LoopbackPeers peers = new LoopbackPeers();
-  private final List<Queue<Long>> arrivals = new ArrayList<>(); // by provider, when each first line came
+  private final LoopbackPeers harness = new LoopbackPeers();
+  private final List<Queue<Long>> arrivalsNanos = new ArrayList<>(); // by provider: System.nanoTime of each first line
   private final Queue<Socket> watches = new ConcurrentLinkedQueue<>();
-  private final AtomicInteger ids = new AtomicInteger();
-  private volatile String list;
+  private final AtomicInteger nextId = new AtomicInteger();
+  private volatile String providerList;
 
-  /** A provider that serves each connection to its end at once. */
-  private String provider(String name, long since) throws IOException {
-    Queue<Long> mine = new ConcurrentLinkedQueue<>();
-    arrivals.add(mine);
-    int port = peers.listen((socket, in) -> {
+  /** Starts a provider that accepts and ends each connection at once; returns its entry in the provider list. */
+  private String startProvider(String name, long sinceMillis) throws IOException {
+    Queue<Long> times = new ConcurrentLinkedQueue<>();
+    arrivalsNanos.add(times);
+    int port = harness.listen((socket, in) -> {
       if (in.readLine() != null) {
-        mine.add(System.nanoTime());
+        times.add(System.nanoTime());
         LoopbackPeers.write(socket, "UP r\r\nBYE\r\n");
       }
       socket.close();
     });
     return "{\"name\":\"" + name + "\",\"address\":\"127.0.0.1:" + port + "\",\"zone\":\"here\",\"type\":\"m\","
-        + "\"group\":0,\"status\":\"active\",\"weight\":1.0,\"since_ms\":" + since + "}";
+        + "\"group\":0,\"status\":\"active\",\"weight\":1.0,\"since_ms\":" + sinceMillis + "}";
   }
 
-  private int directory() throws IOException {
-    return peers.directory((socket, in) -> {
-      LoopbackPeers.write(socket, LoopbackPeers.chunk(list));
+  private int startDirectory() throws IOException {
+    return harness.directory((socket, in) -> {
+      LoopbackPeers.write(socket, LoopbackPeers.chunk(providerList));
       watches.add(socket);
     });
   }
 
-  /** Starts a proxy; the port that clients reach it by. */
-  private int proxy(int number, int directory) throws IOException {
+  /** Starts a proxy and returns the port that clients connect to. */
+  private int startProxy(int index, int directory) throws IOException {
     String text = Files.readString(Path.of("../example/config.json"))
-        .replace("\"balancers\": 1", "\"balancers\": " + PROXIES).replace("\"slot-no\": 0", "\"slot-no\": " + number)
-        .replace("\"seed\": \"8c1f30d27a5be964\"", "\"seed\": \"" + (number + 1) + "\"")
+        .replace("\"balancers\": 1", "\"balancers\": " + PROXY_COUNT).replace("\"slot-no\": 0", "\"slot-no\": " + index)
+        .replace("\"seed\": \"8c1f30d27a5be964\"", "\"seed\": \"" + (index + 1) + "\"")
         .replaceAll("(?s)\"endpoints\": \\[.*?\\]", "\"endpoints\": []")
-        .replace("\"cold\": 19000000", "\"cold\": " + COLD / 1000).replace("\"cold-share\": 0.12",
-            "\"cold-share\": " + SHARE).replace("\"overload-factor\": 4.0", "\"overload-factor\": " + MULTIPLE);
-    assertTrue(text.contains("\"fall\": " + WINDOW / 1000 + ","));
-    return peers.serve(Files.writeString(folder.resolve("config" + number), text), directory);
+        .replace("\"cold\": 19000000", "\"cold\": " + WARM_UP_NANOS / 1000)
+        .replace("\"cold-share\": 0.12", "\"cold-share\": " + COLD_CAPACITY_FRACTION)
+        .replace("\"overload-factor\": 4.0", "\"overload-factor\": " + OVERLOAD_FACTOR);
+    assertTrue(text.contains("\"fall\": " + WINDOW_NANOS / 1000 + ","));
+    return harness.serve(Files.writeString(folder.resolve("config" + index), text), directory);
   }
 
-  /** A client that comes again, as another one, whenever it has been served. */
-  private void client(int port) {
-    while (!peers.closed()) {
+  /** Connects again with a new key whenever the connection has ended. */
+  private void runClient(int port) {
+    while (!harness.closed()) {
       try (Socket socket = new Socket(LoopbackPeers.LOOPBACK, port)) {
-        String id = Integer.toHexString(ids.incrementAndGet());
+        String id = Integer.toHexString(nextId.incrementAndGet());
         LoopbackPeers.write(socket, "OPEN " + id + " k" + id + " c=scan-tiles,t=acme,d=3000\r\n");
         BufferedReader in = LoopbackPeers.reader(socket);
         while (in.readLine() != null) {
           // UP and BYE
         }
-      } catch (IOException gone) {
-        // comes again
+      } catch (IOException closed) {
+        // connects again
       }
     }
   }
 
-  private void await(int provider, int connections) {
-    while (arrivals.get(provider).size() < connections) {
-      assertTrue(peers.processes().stream().allMatch(Process::isAlive));
+  private void awaitRequests(int provider, int count) {
+    while (arrivalsNanos.get(provider).size() < count) {
+      assertTrue(harness.processes().stream().allMatch(Process::isAlive));
       LockSupport.parkNanos(1_000_000);
     }
   }
 
   @Test
-  void whatAllSendToAColdProviderStaysWithinItsBudget() throws Exception {
+  void allProxiesTogetherStayWithinTheWarmUpBudget() throws Exception {
     List<String> entries = new ArrayList<>();
-    for (int i = 0; i < WARM; i++) {
-      entries.add(provider("p" + i, 0));
+    for (int i = 0; i < WARM_PROVIDER_COUNT; i++) {
+      entries.add(startProvider("p" + i, 0));
     }
-    list = "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + String.join(",", entries) + "]}";
-    int directory = directory();
-    for (int i = 0; i < PROXIES; i++) {
-      int port = proxy(i, directory);
+    providerList = "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + String.join(",", entries) + "]}";
+    int directory = startDirectory();
+    for (int i = 0; i < PROXY_COUNT; i++) {
+      int port = startProxy(i, directory);
       for (int j = 0; j < 2; j++) {
-        peers.execute(() -> client(port));
+        harness.execute(() -> runClient(port));
       }
     }
-    await(0, ENOUGH);
+    awaitRequests(0, REQUEST_COUNT);
     long start = System.nanoTime();
-    String cold = provider("p" + WARM, System.currentTimeMillis());
-    list = "{\"index\":2,\"snapshot\":false,\"endpoints\":[" + cold + "]}";
+    String cold = startProvider("p" + WARM_PROVIDER_COUNT, System.currentTimeMillis());
+    providerList = "{\"index\":2,\"snapshot\":false,\"endpoints\":[" + cold + "]}";
     for (Socket watch : watches) {
-      LoopbackPeers.write(watch, LoopbackPeers.chunk(list));
+      LoopbackPeers.write(watch, LoopbackPeers.chunk(providerList));
     }
-    await(0, arrivals.get(0).size() + ENOUGH);
-    List<Long> there = List.copyOf(arrivals.get(WARM));
-    assertTrue(there.size() > PROXIES, "it is used");
-    long warm = 0; // what one that is warm took at most in a window
-    for (Queue<Long> queue : arrivals.subList(0, WARM)) {
-      warm = Math.max(warm, most(List.copyOf(queue)));
+    awaitRequests(0, arrivalsNanos.get(0).size() + REQUEST_COUNT);
+    List<Long> coldArrivals = List.copyOf(arrivalsNanos.get(WARM_PROVIDER_COUNT));
+    assertTrue(coldArrivals.size() > PROXY_COUNT, "the cold provider gets requests");
+    long maxWarm = 0; // most requests of a warm provider in a window
+    for (Queue<Long> queue : arrivalsNanos.subList(0, WARM_PROVIDER_COUNT)) {
+      maxWarm = Math.max(maxWarm, maxInWindow(List.copyOf(queue)));
     }
-    for (int i = 0; i < there.size(); i++) {
-      long end = there.get(i);
-      double budget = MULTIPLE * warm * (SHARE + (1 - SHARE) * (end - start) / COLD);
-      long sent = there.stream().filter(at -> at > end - WINDOW && at <= end).count();
-      assertTrue(sent <= budget + 2 * Math.sqrt(budget) + 2, sent + " over " + budget);
+    for (int i = 0; i < coldArrivals.size(); i++) {
+      long end = coldArrivals.get(i);
+      double budget = OVERLOAD_FACTOR * maxWarm
+          * (COLD_CAPACITY_FRACTION + (1 - COLD_CAPACITY_FRACTION) * (end - start) / WARM_UP_NANOS);
+      long sent = coldArrivals.stream().filter(at -> at > end - WINDOW_NANOS && at <= end).count();
+      assertTrue(sent <= budget + 2 * Math.sqrt(budget) + 2, sent + " requests, budget " + budget);
     }
-    assertEquals(PROXIES, peers.processes().stream().filter(Process::isAlive).count());
+    assertEquals(PROXY_COUNT, harness.processes().stream().filter(Process::isAlive).count());
   }
 
-  private static long most(List<Long> times) {
-    long most = 0;
+  private static long maxInWindow(List<Long> times) {
+    long max = 0;
     int from = 0;
     for (int i = 0; i < times.size(); i++) {
-      while (times.get(from) <= times.get(i) - WINDOW) {
+      while (times.get(from) <= times.get(i) - WINDOW_NANOS) {
         from++;
       }
-      most = Math.max(most, i - from + 1);
+      max = Math.max(max, i - from + 1);
     }
-    return most;
+    return max;
   }
 
   @AfterEach
-  void end() {
-    peers.close();
+  void close() {
+    harness.close();
   }
 }
--- a/proxy/src/test/java/amberhoist/cli/LargeListTest.java
+++ b/proxy/src/test/java/amberhoist/cli/LargeListTest.java
@@ -19,20 +19,20 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A fleet of 1,500 providers and 300 proxies, as one process of the program sees it in the memory of a small one. */
+/** One proxy of a fleet of 300 with a list of 1,500 providers must serve within the memory of a small instance. */
 @Timeout(120)
 class LargeListTest {
-  private static final int PROVIDERS = 1500;
-  private static final int PROXIES = 300;
-  private static final int CHANGES = 300; // each of ten providers
-  private static final int CLIENTS = 200;
+  private static final int PROVIDER_COUNT = 1500;
+  private static final int PROXY_COUNT = 300;
+  private static final int UPDATE_COUNT = 300; // of ten providers each
+  private static final int CLIENT_COUNT = 200;
   private static final int MEMORY_MB = 192;
 
   @TempDir
   private Path folder;
 
-  private final LoopbackPeers peers = new LoopbackPeers();
-  private final Set<String> opened = ConcurrentHashMap.newKeySet();
+  private final LoopbackPeers harness = new LoopbackPeers();
+  private final Set<String> requests = ConcurrentHashMap.newKeySet();
 
   private static String entries(int from, int to, int port, String status) {
     return IntStream.range(from, to).mapToObj(i -> "{\"name\":\"s-" + i + "\",\"address\":\"127.0.0.1:" + port
@@ -40,66 +40,67 @@
         + "\",\"weight\":1.0,\"since_ms\":0}").collect(Collectors.joining(","));
   }
 
-  private static String news(int index, boolean whole, String entries) {
-    return LoopbackPeers.chunk("{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[" + entries + "]}");
+  private static String update(int index, boolean snapshot, String entries) {
+    return LoopbackPeers
+        .chunk("{\"index\":" + index + ",\"snapshot\":" + snapshot + ",\"endpoints\":[" + entries + "]}");
   }
 
-  /** The whole list, then many changes: every provider drains and comes back. */
-  private static void watch(Socket socket, int provider) throws IOException {
-    StringBuilder text = new StringBuilder(news(1, true, entries(0, PROVIDERS, provider, "active")));
-    for (int i = 0; i < CHANGES; i++) {
-      int from = i / 2 * 10 % PROVIDERS;
-      text.append(news(2 + i, false, entries(from, from + 10, provider, i % 2 == 0 ? "leaving" : "active")));
+  /** Sends the whole list, then updates in which every provider starts leaving and becomes active again. */
+  private static void sendUpdates(Socket socket, int providerPort) throws IOException {
+    StringBuilder text = new StringBuilder(update(1, true, entries(0, PROVIDER_COUNT, providerPort, "active")));
+    for (int i = 0; i < UPDATE_COUNT; i++) {
+      int from = i / 2 * 10 % PROVIDER_COUNT;
+      text.append(update(2 + i, false, entries(from, from + 10, providerPort, i % 2 == 0 ? "leaving" : "active")));
     }
     LoopbackPeers.write(socket, text.toString());
   }
 
-  private Path config() throws IOException {
+  private Path writeConfig() throws IOException {
     return Files.writeString(folder.resolve("config"), Files.readString(Path.of("../example/config.json"))
-        .replace("\"balancers\": 1", "\"balancers\": " + PROXIES)
+        .replace("\"balancers\": 1", "\"balancers\": " + PROXY_COUNT)
         .replaceAll("(?s)\"endpoints\": \\[.*?\\]", "\"endpoints\": []"));
   }
 
   private long peakMemoryMb() throws IOException {
-    long pid = peers.processes().get(0).pid();
+    long pid = harness.processes().get(0).pid();
     return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream()
         .filter(line -> line.startsWith("VmHWM")).mapToLong(line -> Long.parseLong(line.replaceAll("\\D", ""))).sum()
         / 1024;
   }
 
   @Test
-  void oneProcessServesWithAListOfFifteenHundred() throws Exception {
-    int provider = peers.listen((socket, in) -> {
-      opened.add(in.readLine());
+  void servesWithinItsMemoryWithAListOf1500Providers() throws Exception {
+    int providerPort = harness.listen((socket, in) -> {
+      requests.add(in.readLine());
       LoopbackPeers.write(socket, "UP r\r\n");
       in.readLine();
     });
-    int directory = peers.directory((socket, in) -> watch(socket, provider));
-    int port = peers.serve(config(), directory, "-XX:TieredStopAtLevel=1", "-Xms8m",
+    int directory = harness.directory((socket, in) -> sendUpdates(socket, providerPort));
+    int port = harness.serve(writeConfig(), directory, "-XX:TieredStopAtLevel=1", "-Xms8m",
         "-Xmx" + (MEMORY_MB - 24) / 2 + "m", "-XX:MaxDirectMemorySize=" + MEMORY_MB / 16 + "m");
     List<Socket> clients = new ArrayList<>();
     Set<String> answers = new HashSet<>();
-    for (int i = 0; i < CLIENTS; i++) {
+    for (int i = 0; i < CLIENT_COUNT; i++) {
       String answer;
-      do { // one of three hundred proxies paces its set-ups: a client that is told to comes again
+      do { // one of 300 proxies limits its setups: a client answered with BUSY connects again
         Socket socket = new Socket(LoopbackPeers.LOOPBACK, port);
         clients.add(socket);
         LoopbackPeers.write(socket, "OPEN " + clients.size() + " k" + i + " c=scan-tiles,t=acme,d=3000\r\n");
         answer = LoopbackPeers.reader(socket).readLine();
-      } while (answer != null && answer.startsWith("BUSY") && clients.size() < 20 * CLIENTS);
+      } while (answer != null && answer.startsWith("BUSY") && clients.size() < 20 * CLIENT_COUNT);
       answers.add(answer);
     }
     assertEquals(Set.of("UP r"), answers);
-    assertEquals(CLIENTS, opened.size());
-    assertTrue(peers.processes().get(0).isAlive());
-    assertTrue(peakMemoryMb() < MEMORY_MB, peakMemoryMb() + " MB at most");
+    assertEquals(CLIENT_COUNT, requests.size());
+    assertTrue(harness.processes().get(0).isAlive());
+    assertTrue(peakMemoryMb() < MEMORY_MB, peakMemoryMb() + " MB at peak");
     for (Socket client : clients) {
       client.close();
     }
   }
 
   @AfterEach
-  void end() {
-    peers.close();
+  void close() {
+    harness.close();
   }
 }
--- a/proxy/src/test/java/amberhoist/cli/LoopbackPeers.java
+++ b/proxy/src/test/java/amberhoist/cli/LoopbackPeers.java
@@ -17,20 +17,20 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** Listeners on loopback round processes of the program, and the processes; all of them end with it. */
+/** Proxy processes and the listeners on loopback that they connect to; {@link #close} ends all of them. */
 final class LoopbackPeers implements AutoCloseable {
   static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
   private static final int BACKLOG = 1024;
 
-  /** What a listener does with a connection. */
+  /** Handles a connection that a listener has accepted. */
   interface Serving {
     void on(Socket socket, BufferedReader in) throws IOException;
   }
 
   private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
-    Thread made = new Thread(task);
-    made.setDaemon(true);
-    return made;
+    Thread thread = new Thread(task);
+    thread.setDaemon(true);
+    return thread;
   });
   private final Queue<ServerSocket> servers = new ConcurrentLinkedQueue<>();
   private final List<Process> processes = new ArrayList<>();
@@ -47,7 +47,7 @@
     return processes;
   }
 
-  /** A listener that serves each who comes on a thread of its own; its port. */
+  /** Starts a listener that handles each connection on its own thread; returns its port. */
   int listen(Serving serving) throws IOException {
     ServerSocket server = new ServerSocket(0, BACKLOG, LOOPBACK);
     servers.add(server);
@@ -58,8 +58,8 @@
           threads.execute(() -> {
             try {
               serving.on(socket, reader(socket));
-            } catch (IOException gone) {
-              // so is the connection
+            } catch (IOException closed) {
+              // the connection has ended
             }
           });
         } catch (IOException closed) {
@@ -70,25 +70,25 @@
     return server.getLocalPort();
   }
 
-  /** A directory that answers a watch with these chunks and then leaves it open. */
+  /** Starts a directory that answers each watch through {@code answer} and leaves it open; returns its port. */
   int directory(Serving answer) throws IOException {
     return listen((socket, in) -> {
       for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
-        // the query and its headers
+        // skips the request line and headers
       }
       write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
       answer.on(socket, in);
     });
   }
 
-  /** Starts the program by this platform configuration; the port that clients reach it by. */
+  /** Starts a proxy with this platform configuration; returns the port that clients connect to. */
   int serve(Path config, int directory, String... options) throws IOException {
-    List<String> line = new ArrayList<>(
+    List<String> command = new ArrayList<>(
         List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC"));
-    line.addAll(List.of(options));
-    line.addAll(List.of("--add-opens", "java.base/sun.nio.ch=ALL-UNNAMED", "-cp",
+    command.addAll(List.of(options));
+    command.addAll(List.of("--add-opens", "java.base/sun.nio.ch=ALL-UNNAMED", "-cp",
         System.getProperty("java.class.path"), "amberhoist.cli.Main", "serve"));
-    ProcessBuilder builder = new ProcessBuilder(line);
+    ProcessBuilder builder = new ProcessBuilder(command);
     builder.environment().keySet().removeIf(name -> name.startsWith("LB_") || name.startsWith("AMBERHOIST_"));
     builder.environment().put("LB_CONFIG", config.toString());
     builder.environment().put("LB_LISTEN", "127.0.0.1:0");
@@ -96,13 +96,13 @@
     Process process = builder.start();
     processes.add(process);
     BufferedReader log = process.errorReader(StandardCharsets.UTF_8);
-    String told = log.readLine();
-    while (told != null && !told.contains("serves on ")) {
-      told = log.readLine();
+    String line = log.readLine();
+    while (line != null && !line.contains("serves on ")) {
+      line = log.readLine();
     }
-    assertNotNull(told, "it ended at its start");
-    threads.execute(() -> log.lines().forEach(more -> { }));
-    return Integer.parseInt(told.replaceAll(".*address=/127\\.0\\.0\\.1:([0-9]+).*", "$1"));
+    assertNotNull(line, "the process ended during its start");
+    threads.execute(() -> log.lines().forEach(rest -> { }));
+    return Integer.parseInt(line.replaceAll(".*address=/127\\.0\\.0\\.1:([0-9]+).*", "$1"));
   }
 
   static BufferedReader reader(Socket socket) throws IOException {
@@ -113,7 +113,7 @@
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** An object of the directory, as a chunk. */
+  /** Encodes an object of the directory as an HTTP chunk. */
   static String chunk(String object) {
     return Integer.toHexString(object.length() + 1) + "\r\n" + object + "\n\r\n";
   }
@@ -126,7 +126,7 @@
       try {
         server.close();
       } catch (IOException alreadyClosed) {
-        // as it should be
+        // nothing left to close
       }
     }
   }
--- a/proxy/src/test/java/amberhoist/cli/ProcessTest.java
+++ b/proxy/src/test/java/amberhoist/cli/ProcessTest.java
@@ -30,51 +30,51 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as a process of its own: standard error, signals, the admin socket, exit codes. */
+/** The command line in its own process: standard error, signals, the admin socket, descriptors, exit statuses. */
 class ProcessTest {
-  private static final int PATIENCE = 20_000;
+  private static final int TIMEOUT_MILLIS = 20_000;
   private static final ObjectMapper JSON = new ObjectMapper();
 
   @TempDir
   private Path folder;
 
   private ProcessBuilder command(String... args) {
-    List<String> line = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+    List<String> arguments = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
         "-XX:+UseSerialGC", "--add-opens", "java.base/sun.nio.ch=ALL-UNNAMED", "-cp",
         System.getProperty("java.class.path"), "amberhoist.cli.Main"));
-    line.addAll(List.of(args));
-    ProcessBuilder builder = new ProcessBuilder(line);
+    arguments.addAll(List.of(args));
+    ProcessBuilder builder = new ProcessBuilder(arguments);
     builder.environment().keySet().removeIf(name -> name.startsWith("LB_") || name.startsWith("AMBERHOIST_"));
     builder.environment().put("LB_CONFIG", "../example/config.json");
     return builder;
   }
 
-  private SocketAddress admin() {
+  private SocketAddress adminAddress() {
     return UnixDomainSocketAddress.of(folder.resolve("admin.sock"));
   }
 
-  private Process serve(String... more) throws IOException {
+  private Process serve(String... extraArgs) throws IOException {
     List<String> args = new ArrayList<>(List.of("serve", "--listen", "127.0.0.1:0", "--directory", "127.0.0.1:1",
         "--set", "admin.listen=unix:" + folder.resolve("admin.sock")));
-    args.addAll(List.of(more));
+    args.addAll(List.of(extraArgs));
     return command(args.toArray(String[]::new)).start();
   }
 
-  private JsonNode status(Process process) throws Exception {
-    long end = System.nanoTime() + PATIENCE * 1_000_000L;
+  private JsonNode awaitStatus(Process process) throws Exception {
+    long deadline = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
     while (true) {
       try {
-        return JSON.readTree(AdminClient.get(admin(), "/status"));
+        return JSON.readTree(AdminClient.get(adminAddress(), "/status"));
       } catch (IOException notYet) {
-        assertTrue(process.isAlive() && System.nanoTime() < end, "nobody answers: " + notYet);
+        assertTrue(process.isAlive() && System.nanoTime() < deadline, "no answer from the admin socket: " + notYet);
         Thread.onSpinWait();
       }
     }
   }
 
-  private static String answer(int port, String text) throws IOException {
+  private static String firstAnswer(int port, String text) throws IOException {
     try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
-      client.setSoTimeout(PATIENCE);
+      client.setSoTimeout(TIMEOUT_MILLIS);
       client.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
       return new BufferedReader(new InputStreamReader(client.getInputStream(), StandardCharsets.ISO_8859_1))
           .readLine();
@@ -87,37 +87,37 @@
   }
 
   @Test
-  void aFullPipeOnStandardErrorDoesNotStopTheLoop() throws Exception {
+  void fullStandardErrorPipeDoesNotBlockTheLoop() throws Exception {
     Process process = serve("--set", "log.rate=10000", "--set", "log.burst=100000", "--set", "log.queue=4KiB");
     try {
-      int port = port(status(process));
+      int port = port(awaitStatus(process));
       long dropped = 0;
-      for (int i = 0; i < 20_000 && dropped == 0; i++) { // nobody reads its standard error, which is a pipe
-        assertEquals("ERR", answer(port, "NONSENSE\r\n"));
-        dropped = i % 100 == 99 ? status(process).path("log").path("dropped").asLong() : 0;
+      for (int i = 0; i < 20_000 && dropped == 0; i++) { // its standard error is a pipe that the test does not read
+        assertEquals("ERR", firstAnswer(port, "NONSENSE\r\n"));
+        dropped = i % 100 == 99 ? awaitStatus(process).path("log").path("dropped").asLong() : 0;
       }
       assertTrue(dropped > 0, "the pipe never filled");
-      assertEquals("PONG", answer(port, "PING\r\n"), "it goes on serving");
+      assertEquals("PONG", firstAnswer(port, "PING\r\n"), "it keeps serving");
       signal(process, "TERM");
-      assertEquals(0, process.waitFor(), "and stops in good order");
+      assertEquals(0, process.waitFor(), "and exits with status 0");
     } finally {
       process.destroyForcibly();
     }
   }
 
   @Test
-  void jsonLinesAndSignalsAndTheAdminSocket() throws Exception {
+  void servesAdminSocketAndHandlesSignalsWithJsonLog() throws Exception {
     Path file = Files.writeString(folder.resolve("o.toml"), "[log]\nformat = \"json\"\n[line]\npings = 1\n");
     Process process = serve("--config", file.toString());
     try (BufferedReader log = process.errorReader(StandardCharsets.UTF_8)) {
-      JsonNode status = status(process);
+      JsonNode status = awaitStatus(process);
       assertEquals("serving", status.path("state").asText());
       assertEquals(2, status.path("providers").size());
-      assertEquals("PONG", answer(port(status), "PING\r\n"));
-      String metrics = AdminClient.get(admin(), "/metrics");
+      assertEquals("PONG", firstAnswer(port(status), "PING\r\n"));
+      String metrics = AdminClient.get(adminAddress(), "/metrics");
       assertTrue(metrics.contains("amberhoist_pinged_total 1.0"), metrics);
       assertTrue(metrics.contains("amberhoist_setup_seconds{quantile=\"0.99\"}"), metrics);
-      assertTrue(AdminClient.get(admin(), "/config").contains("o.toml:4"));
+      assertTrue(AdminClient.get(adminAddress(), "/config").contains("o.toml:4"));
       Files.writeString(file, "[log]\nformat = \"text\"\n[line]\npings = 0\n");
       signal(process, "HUP");
       awaitEvent(log, "config.refused");
@@ -125,16 +125,16 @@
       signal(process, "HUP");
       assertEquals("log.format", awaitEvent(log, "config.restart_needed").path("keys").asText());
       signal(process, "TERM");
-      JsonNode last = awaitEvent(log, "proxy.stopped");
-      assertTrue(last.path("message").asText().contains("reloads=1 reloads_refused=1"), last.toString());
-      assertEquals("n0", last.path("instance").asText());
+      JsonNode stopped = awaitEvent(log, "proxy.stopped");
+      assertTrue(stopped.path("message").asText().contains("reloads=1 reloads_refused=1"), stopped.toString());
+      assertEquals("n0", stopped.path("instance").asText());
       assertEquals(0, process.waitFor());
     } finally {
       process.destroyForcibly();
     }
   }
 
-  /** Unlike Process.destroy, this leaves the streams open. */
+  /** Sends a signal. Unlike {@link Process#destroy}, this leaves the streams open. */
   private static void signal(Process process, String name) throws Exception {
     new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
   }
@@ -152,14 +152,17 @@
 
   private String[] run(String... args) throws Exception {
     Process process = command(args).redirectErrorStream(true).start();
-    String told = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-    return new String[] {Integer.toString(process.waitFor()), told};
+    String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    return new String[] {Integer.toString(process.waitFor()), output};
   }
 
-  /** The program reads its configuration from a pipe: it is certain where it stands until that is written. */
+  /**
+   * Signals during the start must be handled once the proxy serves. The configuration is read from a pipe, so the start
+   * waits until the test writes it.
+   */
   @Test
   @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-  void aSignalAtTheStartIsActedOnOnceTheProxyServes() throws Exception {
+  void handlesASignalDuringTheStartOnceItServes() throws Exception {
     String config = Files.readString(Path.of("../example/config.json"));
     for (String name : List.of("TERM", "HUP")) {
       Path pipe = folder.resolve(name);
@@ -169,11 +172,11 @@
           "127.0.0.1:1"));
       Process process = builder.start();
       try (BufferedReader log = process.errorReader(StandardCharsets.UTF_8)) {
-        try (Writer written = Files.newBufferedWriter(pipe)) { // opens when the program does
+        try (Writer written = Files.newBufferedWriter(pipe)) { // blocks until the program opens the pipe
           signal(process, name);
           awaitThread(process, name.equals("TERM") ? "stop" : "SIGHUP handler");
           Path file = Files.writeString(folder.resolve("config.json"), config);
-          Files.move(file, pipe, StandardCopyOption.REPLACE_EXISTING); // for whoever reads it again
+          Files.move(file, pipe, StandardCopyOption.REPLACE_EXISTING); // a reload reads this file in place of the pipe
           written.write(config);
         }
         if (name.equals("HUP")) {
@@ -181,7 +184,7 @@
           signal(process, "TERM");
         }
         awaitLine(log, "event=proxy.stops");
-        signal(process, "TERM"); // again, and new settings in the middle of the end
+        signal(process, "TERM"); // a second stop, and a reload during the stop
         signal(process, "HUP");
         awaitLine(log, "event=proxy.stopped");
         assertEquals(0, process.waitFor());
@@ -200,30 +203,33 @@
   }
 
   private static void awaitThread(Process process, String name) throws Exception {
-    String cut = name.substring(0, Math.min(15, name.length())); // as the system keeps it
-    long end = System.nanoTime() + PATIENCE * 1_000_000L;
+    String threadName = name.substring(0, Math.min(15, name.length())); // the kernel keeps 15 characters
+    long deadline = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
     while (true) {
-      assertTrue(process.isAlive() && System.nanoTime() < end, "no thread " + name);
+      assertTrue(process.isAlive() && System.nanoTime() < deadline, "no thread " + name);
       try (Stream<Path> tasks = Files.list(Path.of("/proc", Long.toString(process.pid()), "task"))) {
         for (Path task : tasks.toList()) {
-          if (Files.readString(task.resolve("comm")).strip().equals(cut)) {
+          if (Files.readString(task.resolve("comm")).strip().equals(threadName)) {
             return;
           }
         }
-      } catch (IOException gone) {
+      } catch (IOException threadEnded) {
         Thread.onSpinWait();
       }
     }
   }
 
-  /** Idle clients fill the descriptors while the directory is down; it comes back, and so does a usual client. */
+  /**
+   * Idle clients must not take the descriptors that the watch and a request need. They connect while the directory is
+   * down; it then comes back, and another client sends a request.
+   */
   @Test
   @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-  void idleClientsTakeNoDescriptorThatIsNeeded() throws Exception {
+  void idleClientsLeaveDescriptorsForWatchAndRequests() throws Exception {
     InetAddress loopback = InetAddress.getLoopbackAddress();
-    ServerSocket free = new ServerSocket(0, 1, loopback);
-    InetSocketAddress address = (InetSocketAddress) free.getLocalSocketAddress();
-    free.close(); // the directory is down
+    ServerSocket unused = new ServerSocket(0, 1, loopback);
+    InetSocketAddress address = (InetSocketAddress) unused.getLocalSocketAddress();
+    unused.close(); // the directory is down
     List<Socket> idle = new ArrayList<>();
     Process process = null;
     try (ServerSocket provider = new ServerSocket(0, 64, loopback); ServerSocket directory = new ServerSocket()) {
@@ -244,20 +250,20 @@
       for (int i = 0; i < 300; i++) {
         idle.add(new Socket(loopback, port));
       }
-      assertEquals("PONG", answer(port, "PING\r\n"), "all before it have been taken in, or were ended");
-      assertTrue(descriptors(process) <= 64, "over its limit: " + descriptors(process));
+      assertEquals("PONG", firstAnswer(port, "PING\r\n"), "all earlier clients were accepted or closed");
+      assertTrue(descriptorCount(process) <= 64, "descriptors above the limit: " + descriptorCount(process));
       directory.setReuseAddress(true);
       directory.bind(address);
-      directory.setSoTimeout(PATIENCE);
+      directory.setSoTimeout(TIMEOUT_MILLIS);
       directory.accept(); // the watch
-      provider.setSoTimeout(PATIENCE);
+      provider.setSoTimeout(TIMEOUT_MILLIS);
       try (Socket client = new Socket(loopback, port); BufferedReader in = new BufferedReader(
           new InputStreamReader(client.getInputStream(), StandardCharsets.ISO_8859_1))) {
         client.getOutputStream().write("OPEN 1 1 c=scan-tiles,d=20000\r\n".getBytes(StandardCharsets.ISO_8859_1));
         provider.accept().getOutputStream().write("UP r\r\n".getBytes(StandardCharsets.ISO_8859_1));
         assertEquals("UP r", in.readLine());
       }
-      assertTrue(descriptors(process) <= 64, "over its limit: " + descriptors(process));
+      assertTrue(descriptorCount(process) <= 64, "descriptors above the limit: " + descriptorCount(process));
       signal(process, "TERM");
       assertEquals(0, process.waitFor());
     } finally {
@@ -270,27 +276,27 @@
     }
   }
 
-  /** How many descriptors a process holds, but for the files that its classes come from, which in service are one. */
-  private static long descriptors(Process process) throws IOException {
-    long held = 0;
+  /** Returns the number of open descriptors of a process. All jars count as one, as a deployment has one. */
+  private static long descriptorCount(Process process) throws IOException {
+    long count = 0;
     try (Stream<Path> all = Files.list(Path.of("/proc", Long.toString(process.pid()), "fd"))) {
-      for (Path one : all.toList()) {
+      for (Path descriptor : all.toList()) {
         try {
-          held += Files.readSymbolicLink(one).toString().endsWith(".jar") ? 0 : 1;
+          count += Files.readSymbolicLink(descriptor).toString().endsWith(".jar") ? 0 : 1;
         } catch (IOException closed) {
-          // meanwhile
+          // closed since it was listed
         }
       }
     }
-    return held + 1;
+    return count + 1;
   }
 
   @Test
-  void exitCodesAreTwoForUsageAndOneForFaults() throws Exception {
+  void exitsWith2ForUsageErrorsAnd1ForFailures() throws Exception {
     assertEquals("2", run("sevre")[0]);
     assertEquals("2", run("status")[0], "no admin socket is set");
     assertEquals("2", run("config", "check")[0]);
-    assertEquals("1", run("status", "--admin", "127.0.0.1:1")[0], "nobody answers");
+    assertEquals("1", run("status", "--admin", "127.0.0.1:1")[0], "no process answers");
     Path bad = Files.writeString(folder.resolve("bad.toml"), "[log]\nrate = 0\nburst = 0\nx = 1\n");
     String[] refused = run("serve", "--config", bad.toString());
     assertEquals("1", refused[0]);
@@ -301,19 +307,19 @@
   }
 
   @Test
-  void anAdminSocketThatSomebodyAnswersOnIsNotTaken() throws Exception {
+  void doesNotTakeOverAnAdminSocketInUse() throws Exception {
     Process first = serve();
     try {
-      status(first);
+      awaitStatus(first);
       Process second = serve();
-      assertTrue(second.waitFor(PATIENCE, TimeUnit.MILLISECONDS), "it serves beside the first one");
+      assertTrue(second.waitFor(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), "the second process serves beside the first");
       assertEquals(1, second.exitValue());
-      status(first); // still answers
+      awaitStatus(first); // still answers
       first.destroyForcibly();
       first.waitFor();
-      Process third = serve(); // the file that the killed process left is no obstacle
+      Process third = serve(); // replaces the socket file that the killed process left
       try {
-        status(third);
+        awaitStatus(third);
       } finally {
         third.destroyForcibly();
       }
@@ -323,7 +329,7 @@
   }
 
   @Test
-  void whoDawdlesOnTheAdminSocketIsCutOff() throws Exception {
+  void closesSlowAdminConnections() throws Exception {
     Process process = serve("--set", "admin.timeout=1s", "--set", "admin.listen=127.0.0.1:0");
     try (BufferedReader log = process.errorReader(StandardCharsets.UTF_8)) {
       String line = log.readLine();
@@ -332,12 +338,12 @@
       }
       int port = Integer.parseInt(line.replaceAll(".*address=/127.0.0.1:([0-9]+).*", "$1"));
       try (Socket idle = new Socket(InetAddress.getLoopbackAddress(), port)) {
-        idle.setSoTimeout(PATIENCE);
+        idle.setSoTimeout(TIMEOUT_MILLIS);
         idle.getOutputStream().write("GET /sta".getBytes(StandardCharsets.US_ASCII));
-        assertEquals(-1, idle.getInputStream().read(), "cut off");
+        assertEquals(-1, idle.getInputStream().read(), "the connection is closed");
       }
-      String answer = AdminClient.get(new InetSocketAddress("127.0.0.1", port), "/status");
-      assertEquals("serving", JSON.readTree(answer).path("state").asText());
+      String status = AdminClient.get(new InetSocketAddress("127.0.0.1", port), "/status");
+      assertEquals("serving", JSON.readTree(status).path("state").asText());
     } finally {
       process.destroyForcibly();
     }
