--- a/proxy/src/test/java/amberhoist/cli/DayByDayTest.java
+++ b/proxy/src/test/java/amberhoist/cli/DayByDayTest.java
@@ -127,8 +127,8 @@
   private int upCount;
 
   private static int freePort() throws IOException {
-    try (ServerSocket any = new ServerSocket(0, 1, LOOPBACK)) {
-      return any.getLocalPort();
+    try (ServerSocket unused = new ServerSocket(0, 1, LOOPBACK)) {
+      return unused.getLocalPort();
     }
   }
 
--- a/proxy/src/test/java/amberhoist/cli/LoopbackPeers.java
+++ b/proxy/src/test/java/amberhoist/cli/LoopbackPeers.java
@@ -70,7 +70,7 @@
     return server.getLocalPort();
   }
 
-  /** Starts a directory that answers each watch through {@code answer} and leaves it open; returns its port. */
+  /** Starts a directory that answers each watch with the handler and leaves it open; returns its port. */
   int directory(Serving answer) throws IOException {
     return listen((socket, in) -> {
       for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
--- a/proxy/src/test/java/amberhoist/service/CrossingStoriesTest.java
+++ b/proxy/src/test/java/amberhoist/service/CrossingStoriesTest.java
@@ -131,7 +131,8 @@
    */
   @Test
   public void sendsNoRequestToAProviderThatLeftBeforeItConnected() throws Exception {
-    try (Peers peers = new Peers(1); ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+    try (Peers peers = new Peers(1);
+        ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       List<Socket> backlog = new ArrayList<>();
       for (int i = 0; i < 2; i++) {
         backlog.add(new Socket(full.getInetAddress(), full.getLocalPort()));
@@ -199,23 +200,25 @@
       String[] query = new String[1];
       Peer watch = peers.watchTelling(peers.list(8, true, "leaving", "active"));
       watch.send(chunk(peers.list(7, false, "active", "active")));
-      Peer again = peers.watch(query).send(HEAD);
+      Peer newWatch = peers.watch(query).send(HEAD);
       assertTrue(query[0], query[0].contains("&since=0 "));
       for (int i = 0; i < 4; i++) {
         peers.client(opening("k" + i, 2000, ""));
         peers.provider(1).line();
       }
-      again.send(chunk(peers.list(5, true, "active", "leaving"))); // a snapshot: the directory restarted its numbering
+      // a snapshot of a lower index: the directory restarted its numbering
+      newWatch.send(chunk(peers.list(5, true, "active", "leaving")));
       awaitCount(peers, Count.DIRECTORY_NEWS, 2);
       peers.client(opening("k9", 2000, ""));
       assertTrue(peers.provider(0).line().contains("k9"));
     }
   }
 
-  /** A client whose provider takes no data must still be read after its MOVE, or it is reset in place of closed. */
+  /** A client whose provider takes no data must still be read after its MOVE, or it is reset instead of closed. */
   @Test
   public void closesABlockedClientInOrderAfterMove() throws Exception {
-    try (Peers peers = new Peers(1, 1024, "[sockets]\nlinger = \"1m\"\n")) { // longer than the timeout of this test
+    // the linger time is longer than the timeout of this test
+    try (Peers peers = new Peers(1, 1024, "[sockets]\nlinger = \"1m\"\n")) {
       peers.providers.get(0).setReceiveBufferSize(4096);
       Peer client = peers.joined("k", 0)[0];
       for (int sent = 1; areForwarded(peers, sent - 1); sent++) {
@@ -265,7 +268,8 @@
     try (Peers peers = new Peers(1); ServerSocket other = Peers.listen()) {
       String[] query = new String[1];
       String update = chunk(peers.list(10, true, "leaving"));
-      Peer old = peers.watch(query).send(HEAD + chunk(peers.list(9, true)) + update.substring(0, 60));
+      Peer old = peers.watch(query)
+          .send(HEAD + chunk(peers.list(9, true)) + update.substring(0, 60));
       awaitCount(peers, Count.DIRECTORY_NEWS, 1); // the partial object has been read too
       try (Peers.Hold pause = peers.hold()) {
         peers.reload(peers.config(other));
--- a/proxy/src/test/java/amberhoist/service/ManagementStoriesTest.java
+++ b/proxy/src/test/java/amberhoist/service/ManagementStoriesTest.java
@@ -213,7 +213,7 @@
   }
 
   @Test
-  void isNotReadyDuringAStopAndCountsItsRequests() throws Exception {
+  void isNotReadyDuringAStopAndStillReportsMetrics() throws Exception {
     try (Peers peers = withManagementApi(1)) {
       Peer unanswered = peers.client(opening("owed", 8000, ""));
       peers.provider(0).line();
@@ -231,7 +231,8 @@
   }
 
   private static String putStatus(Peers peers, String id, String action) throws Exception {
-    return call(peers, "PUT /v1/viewer-hosts/" + id + "/" + action + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n").status();
+    return call(peers, "PUT /v1/viewer-hosts/" + id + "/" + action + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
+        .status();
   }
 
   @Test
--- a/proxy/src/test/java/amberhoist/service/Peers.java
+++ b/proxy/src/test/java/amberhoist/service/Peers.java
@@ -75,21 +75,21 @@
   private final Path operatorFile = Files.createTempFile("operator", ".toml");
 
   /** Starts a proxy that knows {@code count} active providers, named p0, p1 and so on. */
-  Peers(int count, int sockets) throws Exception {
-    this(count, sockets, null);
+  Peers(int count, int socketLimit) throws Exception {
+    this(count, socketLimit, null);
   }
 
   /** Starts the same with the given text as the operator's file, null for none. */
-  Peers(int count, int sockets, String keys) throws Exception {
+  Peers(int count, int socketLimit, String operatorText) throws Exception {
     for (int i = 0; i < count; i++) {
       providers.add(listen());
     }
-    this.socketLimit = sockets;
+    this.socketLimit = socketLimit;
     Files.writeString(platformFile, config(directory));
-    if (keys == null) {
+    if (operatorText == null) {
       service = Service.start(Config.load(Map.of("LB_CONFIG", platformFile.toString()), new Clock()));
     } else {
-      Files.writeString(operatorFile, keys);
+      Files.writeString(operatorFile, operatorText);
       service = Service.start(Setup.load(sources(Map.of()), new Clock()));
     }
   }
@@ -102,7 +102,8 @@
   String config(ServerSocket directory) {
     return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
         + directory.getLocalPort() + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" + socketLimit
-        + "},\"known\":" + list(1, true, "active") + ",\"settings\":{\"discovery\":\"subscribe\",\"lanes\":[{"
+        + "},\"known\":" + list(1, true, "active")
+        + ",\"settings\":{\"discovery\":\"subscribe\",\"lanes\":[{"
         + "\"name\":\"chat\",\"effect\":\"pure\",\"key-scope\":\"all\",\"aim\":300000,\"give-up\":3000000}],"
         + "\"tenants\":[{\"name\":\"acme\"}],"
         + "\"family-info\":{\"message-aim\":[100000]},\"limits\":{\"max-attempts\":4,\"retry-after\":true,"
@@ -119,8 +120,8 @@
   }
 
   /** Replaces the text of the operator's file and reloads; the proxy must have been started with such a file. */
-  void reloadWith(String keys) throws IOException {
-    Files.writeString(operatorFile, keys);
+  void reloadWith(String operatorText) throws IOException {
+    Files.writeString(operatorFile, operatorText);
     service.reload(sources(Map.of()));
   }
 
@@ -195,7 +196,8 @@
   }
 
   static String opening(String key, int wait, String more) {
-    return "OPEN 9b1f" + key + " " + key + " c=chat,t=acme,d=" + wait + ",g=5c0f" + more + "\r\n";
+    return "OPEN 9b1f" + key + " " + key + " c=chat,t=acme,d=" + wait + ",g=5c0f" + more
+        + "\r\n";
   }
 
   /** Blocks the proxy's event loop until closed; tasks that arrive meanwhile are queued in their order. */
@@ -244,7 +246,8 @@
 
   /** Establishes a connection through the proxy; returns the client's and the provider's end of it. */
   Peer[] joined(String key, int provider) throws IOException {
-    Peer client = client(opening(key, 99_999_999, ",at=p" + provider)); // a handover may have any wait
+    // a handover may have any wait
+    Peer client = client(opening(key, 99_999_999, ",at=p" + provider));
     Peer providerEnd = provider(provider);
     providerEnd.line();
     providerEnd.send("UP r1\r\n");
--- a/proxy/src/test/java/amberhoist/service/StoriesTest.java
+++ b/proxy/src/test/java/amberhoist/service/StoriesTest.java
@@ -92,11 +92,11 @@
       assertEquals("ERR", eager.line());
       assertEquals("FIN", firstAttempt.line());
       assertEquals("the duplicate started no attempt", 1, peers.service.count(Count.CALLS));
-      Peer again = peers.client(opening("k", 2000, "")); // the id is no longer in use
+      Peer reusing = peers.client(opening("k", 2000, "")); // the id is no longer in use
       Peer provider = peers.provider(0);
       provider.line();
       provider.send("UP 4\r\n");
-      assertEquals("UP 4", again.line());
+      assertEquals("UP 4", reusing.line());
       assertEquals("ERR", peers.client(opening("k", 2000, "")).line());
     }
   }
@@ -121,7 +121,8 @@
       }
       silent.socket.setSoTimeout(Peers.PATIENCE);
       for (Peer peer : List.of(silent, pinging, trickling)) {
-        assertEquals("a first line may follow where none has begun", peer == trickling ? "ERR" : "BUSY", peer.line());
+        assertEquals("a first line may follow where none has begun", peer == trickling ? "ERR" : "BUSY",
+            peer.line());
         assertTrue(List.of("FIN", "RESET").contains(peer.line()));
       }
       assertTrue("within 3 s of connecting", System.nanoTime() - start < 2_900_000_000L);
--- a/proxy/src/test/java/amberhoist/service/UpgradeStoriesTest.java
+++ b/proxy/src/test/java/amberhoist/service/UpgradeStoriesTest.java
@@ -34,8 +34,8 @@
   }
 
   private static int freePort() throws Exception {
-    try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      return any.getLocalPort();
+    try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      return unused.getLocalPort();
     }
   }
 
@@ -78,9 +78,9 @@
         assertEquals("MOVE", client.line());
         assertEquals("FIN", client.line());
         client.socket.close();
-        Peer again = client(port, "PING\r\n"); // the old listener is closed or still serves
-        assertEquals("PONG", again.line());
-        again.socket.close();
+        Peer reconnected = client(port, "PING\r\n"); // the old listener is closed or still serves
+        assertEquals("PONG", reconnected.line());
+        reconnected.socket.close();
       }
       stop.join();
       for (int i = 0; i < 20; i++) {
