--- a/proxy/src/main/java/amberhoist/config/AdminAddress.java
+++ b/proxy/src/main/java/amberhoist/config/AdminAddress.java
@@ -7,20 +7,27 @@
 import java.net.UnixDomainSocketAddress;
 import java.nio.file.InvalidPathException;
 
-/** Reads where the admin socket is: a Unix-domain socket or a loopback address, nothing that others can reach. */
+/**
+ * Parses the address of the admin socket: a Unix-domain socket or a loopback address. No other address is allowed, so
+ * that the socket, which requires no authentication, cannot be reached from other hosts.
+ */
 public final class AdminAddress {
-  private static final String UNIX = "unix:";
+  private static final String UNIX_PREFIX = "unix:";
 
   private AdminAddress() {}
 
-  /** The address, null for none, or {@link IllegalArgumentException}. */
+  /**
+   * Parses an address; returns null for the empty text.
+   *
+   * @throws IllegalArgumentException if the text is not such an address; the message says what was expected
+   */
   public static SocketAddress parse(String text) {
     if (text.isEmpty()) {
       return null;
     }
     try {
-      if (text.startsWith(UNIX) && text.length() > UNIX.length()) {
-        return UnixDomainSocketAddress.of(text.substring(UNIX.length()));
+      if (text.startsWith(UNIX_PREFIX) && text.length() > UNIX_PREFIX.length()) {
+        return UnixDomainSocketAddress.of(text.substring(UNIX_PREFIX.length()));
       }
       InetSocketAddress address = Address.parse(text);
       if (address.getAddress().isLoopbackAddress()) {
@@ -29,13 +36,13 @@
     } catch (InvalidPathException fault) {
       throw new IllegalArgumentException("not a path: " + fault.getMessage(), fault);
     } catch (IllegalArgumentException fault) {
-      // told below, with what was expected
+      // reported below, with the expected format
     }
     throw new IllegalArgumentException(
         "expected \"\", \"unix:/path\" or a loopback address such as \"127.0.0.1:9100\", not \"" + text + '"');
   }
 
-  /** The kind of socket that this address wants. */
+  /** Returns the protocol family of the socket for this address. */
   public static StandardProtocolFamily family(SocketAddress address) {
     return address instanceof UnixDomainSocketAddress ? StandardProtocolFamily.UNIX : StandardProtocolFamily.INET;
   }
--- a/proxy/src/main/java/amberhoist/config/Config.java
+++ b/proxy/src/main/java/amberhoist/config/Config.java
@@ -21,22 +21,31 @@
 import java.util.stream.Collectors;
 
 /**
- * What the proxy is told at its start.
+ * The platform's configuration of a proxy: the JSON file that {@code LB_CONFIG} names, and environment variables.
  *
- * @param sockets the most file descriptors
- * @param known the directory's list as this proxy last had it
- * @param limits what the core keeps to
- * @param mgmt where operators call, null for nowhere
- * @param shared the folder that the processes of an upgrade share, null for none
+ * @param name name of the instance, empty if none is given
+ * @param listen address on which clients are accepted
+ * @param discovery address of the directory
+ * @param seed seed of the random decisions; not reproducible unless the file gives one
+ * @param sockets maximum number of file descriptors
+ * @param known the directory's list of providers as this proxy last had it, in use until the directory answers
+ * @param settings settings of the decision module
+ * @param limits limits that the core applies
+ * @param mgmt address of the management API, null if it is disabled
+ * @param shared folder shared by the processes of an upgrade, null if there is none
  */
 public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
     int sockets, DirectoryUpdate known, Settings settings, Limits limits, InetSocketAddress mgmt,
     Path shared) {
-  private static final int SOCKETS = 1024;
-  private static final long DIAL = 250_000;
-  private static final long LONGEST = 3_000_000;
+  private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
+  private static final long DEFAULT_CONNECT_TIMEOUT_MICROS = 250_000;
+  private static final long DEFAULT_MAX_CLIENT_WAIT_MICROS = 3_000_000;
 
-  /** Reads the file that {@code LB_CONFIG} names; other variables take the place of what it says. */
+  /**
+   * Reads the file that {@code LB_CONFIG} names. Other variables override its contents.
+   *
+   * @throws BadConfig if the variable is not set or the file is not valid
+   */
   public static Config load(Map<String, String> environment, Clock clock) throws BadConfig {
     String file = environment.get("LB_CONFIG");
     if (file == null || file.isEmpty()) {
@@ -45,22 +54,24 @@
     try (JsonParser in = new JsonFactory().createParser(Files.readAllBytes(Path.of(file)))) {
       return read(in, environment, clock);
     } catch (IOException | RuntimeException fault) {
-      String first = String.valueOf(fault.getMessage()).lines().findFirst().orElse("");
-      throw new BadConfig("cannot use " + file + ": " + fault.getClass().getSimpleName() + ": " + first);
+      String firstLine = String.valueOf(fault.getMessage()).lines().findFirst().orElse("");
+      throw new BadConfig("cannot use " + file + ": " + fault.getClass().getSimpleName() + ": " + firstLine);
     }
   }
 
   /**
-   * Reads that file again while the proxy runs. Its {@code discovery} then goes before the variable, which
-   * still names the address from the start of the process.
+   * Reads the file again while the proxy runs. Its {@code discovery} then overrides {@code LB_DISCOVERY}, which still
+   * names the address from the start of the process.
+   *
+   * @throws BadConfig if the variable {@code LB_CONFIG} is not set or the file is not valid
    */
   public static Config reload(Map<String, String> environment, Clock clock) throws BadConfig {
-    Map<String, String> others = new HashMap<>(environment);
-    others.remove("LB_DISCOVERY");
-    return load(others, clock);
+    Map<String, String> remaining = new HashMap<>(environment);
+    remaining.remove("LB_DISCOVERY");
+    return load(remaining, clock);
   }
 
-  /** The same with another limit of descriptors. */
+  /** Returns a copy with another maximum number of file descriptors. */
   Config withSockets(int descriptors) {
     return new Config(name, listen, discovery, seed, descriptors, known, settings, limits, mgmt, shared);
   }
@@ -71,9 +82,9 @@
     String discovery = environment.get("LB_DISCOVERY");
     String mgmt = environment.get("LB_MGMT");
     String seed = null;
-    int sockets = SOCKETS;
+    int sockets = DEFAULT_MAX_DESCRIPTORS;
     DirectoryUpdate known = new DirectoryUpdate(0, true, List.of(), Map.of(), Set.of());
-    SettingsReader settings = null;
+    SettingsReader reader = null;
     require(in.nextToken() == JsonToken.START_OBJECT, "not an object");
     while (in.nextToken() == JsonToken.FIELD_NAME) {
       String field = in.currentName();
@@ -97,37 +108,38 @@
           }
         }
         case "known" -> known = DirectoryUpdate.read(in, clock);
-        case "settings" -> settings = SettingsReader.of(in);
+        case "settings" -> reader = SettingsReader.of(in);
         default -> in.skipChildren();
       }
     }
     require(listen != null, "listen is missing");
     require(discovery != null, "discovery is missing");
-    require(settings != null, "settings is missing");
-    require(sockets > 0, "limits.sockets must be over 0");
-    Settings read = settings.settings();
-    long longest = 0;
-    for (int i = 0; i < read.requestClasses().size(); i++) {
-      longest = Math.max(longest, settings.whole("lanes." + i + ".give-up", LONGEST));
+    require(reader != null, "settings is missing");
+    require(sockets > 0, "limits.sockets must be positive");
+    Settings settings = reader.settings();
+    long maxClientWait = 0;
+    for (int i = 0; i < settings.requestClasses().size(); i++) {
+      maxClientWait = Math.max(maxClientWait, reader.whole("lanes." + i + ".give-up", DEFAULT_MAX_CLIENT_WAIT_MICROS));
     }
     return new Config(name == null ? "" : name, Address.parse(listen), Address.parse(discovery),
-        seed == null ? System.nanoTime() : Long.parseUnsignedLong(seed, 16), sockets, known, read,
-        new Limits(settings.whole("limits.dial-timeout", DIAL), longest == 0 ? LONGEST : longest,
-            settings.names("lanes"), settings.names("tenants")),
-        mgmt == null || mgmt.isEmpty() ? null : Address.parse(mgmt), shared(environment.get("TMPDIR")));
+        seed == null ? System.nanoTime() : Long.parseUnsignedLong(seed, 16), sockets, known, settings,
+        new Limits(reader.whole("limits.dial-timeout", DEFAULT_CONNECT_TIMEOUT_MICROS),
+            maxClientWait == 0 ? DEFAULT_MAX_CLIENT_WAIT_MICROS : maxClientWait,
+            reader.names("lanes"), reader.names("tenants")),
+        mgmt == null || mgmt.isEmpty() ? null : Address.parse(mgmt), sharedFolder(environment.get("TMPDIR")));
   }
 
-  private static Path shared(String folder) {
+  private static Path sharedFolder(String folder) {
     return folder == null || folder.isEmpty() ? null : Path.of(folder);
   }
 
-  private static void require(boolean holds, String fault) {
-    if (!holds) {
-      throw new IllegalArgumentException(fault);
+  private static void require(boolean condition, String message) {
+    if (!condition) {
+      throw new IllegalArgumentException(message);
     }
   }
 
-  /** A configuration that nothing can be started with; the message is one plain line. */
+  /** Thrown for an invalid configuration. The message is a single line. */
   public static final class BadConfig extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -143,7 +155,7 @@
       this.problems = problems;
     }
 
-    /** All that is wrong, one each. */
+    /** Returns all problems of the configuration. */
     public List<Problem> problems() {
       return problems;
     }
--- a/proxy/src/main/java/amberhoist/config/Keys.java
+++ b/proxy/src/main/java/amberhoist/config/Keys.java
@@ -2,7 +2,10 @@
 
 import amberhoist.config.schema.Schema;
 
-/** The schema of the operator's file. It is loaded only where such a file, a flag or a variable of it is given. */
+/**
+ * Holds the schema of the operator's file. It is a class of its own so that the schema is loaded only if an operator's
+ * file, a flag or an environment variable for one of its keys is given.
+ */
 final class Keys {
   static final Schema<Operator> SCHEMA = new Schema<>(Operator.class, Operator.DEFAULT);
 
--- a/proxy/src/main/java/amberhoist/config/Layer.java
+++ b/proxy/src/main/java/amberhoist/config/Layer.java
@@ -13,14 +13,15 @@
 import java.util.Map;
 
 /**
- * What one source says of keys: the operator's file, the platform's JSON, the environment or flags.
+ * The values that one source sets for keys of the operator's file. Sources are the operator's file itself, the
+ * platform's JSON, environment variables and command-line flags.
  *
- * @param values what it says, by the key's path
+ * @param values the values by path of the key, before validation
  */
 record Layer(Map<String, Written> values) {
-  private static final Map<String, String> PLATFORM = Map.of("name", "instance.name", "listen",
+  private static final Map<String, String> PATHS_BY_PLATFORM_KEY = Map.of("name", "instance.name", "listen",
       "instance.listen", "discovery", "instance.directory", "mgmt", "instance.mgmt");
-  private static final Map<String, String> VARIABLES = Map.of("LB_NAME", "instance.name", "LB_LISTEN",
+  private static final Map<String, String> PATHS_BY_VARIABLE = Map.of("LB_NAME", "instance.name", "LB_LISTEN",
       "instance.listen", "LB_DISCOVERY", "instance.directory", "LB_CONFIG", "instance.platform",
       "LB_MGMT", "instance.mgmt");
 
@@ -28,20 +29,23 @@
     this(new LinkedHashMap<>());
   }
 
-  /** Reads the operator's file; what cannot be parsed is a problem, and the layer is then empty. */
+  /** Reads the operator's file. If it cannot be parsed, adds a problem and returns an empty layer. */
   static Layer file(Path file, List<Problem> problems) {
     return new Layer(TomlSource.read(Keys.SCHEMA, file, problems));
   }
 
-  /** What the platform's JSON says of keys. A file that cannot be read says nothing here: Config tells of it. */
+  /**
+   * Reads the values that the platform's JSON sets. If the file cannot be read, the layer is empty; the problem is
+   * reported by {@link Config}.
+   */
   static Layer platform(Path file) {
     Layer layer = new Layer();
     try {
       JsonNode root = new ObjectMapper().readTree(file.toFile());
-      PLATFORM.forEach((name, path) -> layer.put(path, root.path(name), file));
+      PATHS_BY_PLATFORM_KEY.forEach((name, path) -> layer.put(path, root.path(name), file));
       layer.put("limits.descriptors", root.path("limits").path("sockets"), file);
     } catch (IOException fault) {
-      // told by Config, which reads all of it
+      // reported by Config, which reads the whole file
     }
     return layer;
   }
@@ -53,27 +57,30 @@
     }
   }
 
-  /** What the environment says of keys; at a reload it no longer says where the directory is. */
+  /**
+   * Returns the values that environment variables set. On a reload {@code LB_DISCOVERY} is ignored, since it still
+   * names the directory from the start of the process.
+   */
   static Layer environment(Map<String, String> environment, boolean reload) {
     Layer layer = new Layer();
-    Keys.SCHEMA.keys().keySet().forEach(path -> layer.variable(environment,
+    Keys.SCHEMA.keys().keySet().forEach(path -> layer.putVariable(environment,
         "AMBERHOIST_" + path.replace('.', '_').toUpperCase(Locale.ROOT), path));
-    VARIABLES.forEach((variable, path) -> {
+    PATHS_BY_VARIABLE.forEach((variable, path) -> {
       if (!(reload && variable.equals("LB_DISCOVERY"))) {
-        layer.variable(environment, variable, path);
+        layer.putVariable(environment, variable, path);
       }
     });
     return layer;
   }
 
-  private void variable(Map<String, String> environment, String variable, String path) {
+  private void putVariable(Map<String, String> environment, String variable, String path) {
     String text = environment.get(variable);
     if (text != null && !text.isEmpty()) {
       values.put(path, Written.text(variable, text));
     }
   }
 
-  /** What flags say of keys. */
+  /** Returns the values that command-line flags set, given by path. */
   static Layer flags(Map<String, String> flags) {
     Layer layer = new Layer();
     flags.forEach((path, text) -> layer.values.put(path, Written.text("flag", text)));
--- a/proxy/src/main/java/amberhoist/config/Operator.java
+++ b/proxy/src/main/java/amberhoist/config/Operator.java
@@ -13,134 +13,152 @@
 import org.slf4j.event.Level;
 
 /**
- * The operator's file: every key that it may hold. A component is a key or, where its type is a record, a table.
- * Defaults stand in {@link #DEFAULT}; the reference page is made from both.
+ * The operator's file, with all keys that it may contain. A record component is a key or, if its type is a record, a
+ * table; its name is the name of the key. The defaults are in {@link #DEFAULT}. The reference page is generated from
+ * the annotations and the defaults.
  */
 public record Operator(Instance instance, Log log, Admin admin, Limits limits, Answers answers, Silence silence,
     Stop stop, Line line, Sockets sockets, Directory directory) {
 
-  /** Who this is, and where it is. */
-  @Setting("Who this instance is. The platform's JSON, the environment and flags go before these.")
+  /** Identity and addresses of the instance. */
+  @Setting("Identity and addresses of this instance. The platform's JSON, the environment and flags override these"
+      + " keys.")
   public record Instance(
-      @Setting(value = "Name in logs and status. Also `LB_NAME`.", restart = true) String name,
-      @Setting(value = "Address and port to listen on for clients, such as `10.0.0.4:3000`; port 0 lets the system"
-          + " choose. Also `LB_LISTEN`.", restart = true) String listen,
-      @Setting(value = "Address and port where operators call (`docs/operations/day-by-day.md`); empty for nowhere."
-          + " Also `LB_MGMT`.", restart = true) String mgmt,
-      @Setting("Address and port of the directory. Also `LB_DISCOVERY`, which counts at the start only.")
+      @Setting(value = "Name in logs and status. Environment variable: `LB_NAME`.", restart = true) String name,
+      @Setting(value = "Address and port on which clients are accepted, such as `10.0.0.4:3000`; for port 0 the"
+          + " system chooses a free port. Environment variable: `LB_LISTEN`.", restart = true) String listen,
+      @Setting(value = "Address and port of the management API (`docs/operations/day-by-day.md`); empty disables it."
+          + " Environment variable: `LB_MGMT`.", restart = true) String mgmt,
+      @Setting("Address and port of the directory. Environment variable: `LB_DISCOVERY`, which applies only at"
+          + " startup.")
       String directory,
-      @Setting(value = "The platform's JSON file, which holds the settings of classes and tenants. Also"
-          + " `LB_CONFIG`, which goes before this.", restart = true) String platform) {}
+      @Setting(value = "Path of the platform's JSON file, which holds the settings of classes and tenants."
+          + " Environment variable: `LB_CONFIG`, which overrides this key.", restart = true) String platform) {}
 
-  /** The log. */
-  @Setting("The log, on standard error. Its events are listed in `docs/logging.md`.")
+  /** Logging. */
+  @Setting("Logging to standard error. The events are listed in `docs/logging.md`.")
   public record Log(
-      @Setting(value = "`text` for people, `json` for one object a line. JSON takes about 6 MB more memory.",
+      @Setting(value = "`text` for people, `json` for one JSON object per line. JSON takes about 6 MB more memory.",
           restart = true) LogSettings.Format format,
-      @Setting("Events less urgent than this are not told: `error`, `warn`, `info`, `debug`.") Level level,
-      @Setting(value = "Lines a second for each event that a client or provider can bring about at will; what is"
-          + " over is counted and told.", min = "1", max = "10000") int rate,
-      @Setting(value = "So many of these lines at once.", min = "1", max = "100000") int burst,
-      @Setting(value = "What may wait for a slow reader of standard error; lines over it are dropped, counted and"
-          + " told.", min = "4KiB", max = "64MiB") Size queue) {}
+      @Setting("Minimum level of the events that are logged: `error`, `warn`, `info` or `debug`.") Level level,
+      @Setting(value = "Maximum lines per second for each event that clients or providers can trigger at will."
+          + " Lines above it are suppressed; their number is logged.", min = "1", max = "10000") int rate,
+      @Setting(value = "Maximum number of such lines at once. Must not be less than `log.rate`.",
+          min = "1", max = "100000") int burst,
+      @Setting(value = "Maximum size of the lines queued for a slow reader of standard error. Further lines are"
+          + " dropped; their number is logged.", min = "4KiB", max = "64MiB") Size queue) {}
 
   /** The admin socket. */
-  @Setting("The admin socket, for `amberhoist status` and Prometheus. It has no password: whoever reaches it"
-      + " reads it.")
+  @Setting("The admin socket, for `amberhoist status` and Prometheus. It requires no authentication: anyone who"
+      + " can connect to it can read from it.")
   public record Admin(
-      @Setting(value = "Where to answer: empty for nowhere, `unix:/path/of/socket`, or `127.x.y.z:port`.",
+      @Setting(value = "Address to listen on: `unix:/path/of/socket` or `127.x.y.z:port`; empty disables the socket.",
           restart = true) String listen,
-      @Setting(value = "A question must be asked and answered within this.", min = "100ms", max = "1m",
-          restart = true) Duration timeout) {}
+      @Setting(value = "Time limit for receiving a request, and again for sending the response.",
+          min = "100ms", max = "1m", restart = true) Duration timeout) {}
 
-  /** What the process may hold. */
-  @Setting("What the process may hold. Lowering a limit cuts nobody off: new work meets the new limit.")
+  /** Resource limits of the process. */
+  @Setting("Resource limits of the process. Lowering a limit closes no existing connection; it applies to new work.")
   public record Limits(
-      @Setting(value = "File descriptors. The platform's JSON says this as `limits.sockets`.", min = "32",
-          max = "1000000") int descriptors) {}
+      @Setting(value = "Maximum number of file descriptors. Overridden by `limits.sockets` of the platform's JSON.",
+          min = "32", max = "1000000") int descriptors) {}
 
   /** Final answers. */
   @Setting("Final answers to clients.")
   public record Answers(
-      @Setting(value = "An answer leaves this long before the client gives up.", min = "1ms", max = "1s")
+      @Setting(value = "Time before the client's deadline at which its answer is sent at the latest.",
+          min = "1ms", max = "1s")
       Duration margin,
-      @Setting(value = "What a client rejected for want of descriptors is told to wait.", min = "0ms", max = "1m")
+      @Setting(value = "Retry-after of clients that are rejected because file descriptors ran short.",
+          min = "0ms", max = "1m")
       Duration crowdedAdvice) {}
 
-  /** Providers that return nothing. */
-  @Setting("Providers that take lines and return none. Their clients are told to move.")
+  /** Detection of silent providers. */
+  @Setting("Detection of silent providers, which accept lines but return none. Their clients are moved.")
   public record Silence(
-      @Setting(value = "Without a line after a client's, on one connection.", min = "100ms", max = "6s")
+      @Setting(value = "Time without a line from the provider after a client's line, on one connection.",
+          min = "100ms", max = "6s")
       Duration alone,
-      @Setting(value = "The same where two or more connections to the provider are affected.", min = "50ms",
-          max = "6s") Duration together) {}
+      @Setting(value = "The same if two or more connections to the provider are affected. Must not exceed"
+          + " `silence.alone`.", min = "50ms", max = "6s") Duration together) {}
 
-  /** A stop in good order. */
-  @Setting("What happens on SIGTERM.")
+  /** Graceful stop. */
+  @Setting("Graceful stop, on SIGTERM.")
   public record Stop(
-      @Setting(value = "Clients may still be sent here for this long, and are served.", min = "0ms", max = "1m")
+      @Setting(value = "Time during which clients may still be sent here and are served. Must not exceed"
+          + " `stop.longest`.", min = "0ms", max = "1m")
       Duration routed,
-      @Setting(value = "Standing clients are moved from then on, or from 0.55 of the time there is, where that is"
-          + " short.", min = "0ms", max = "1m") Duration hold,
-      @Setting(value = "All clients are moved by then; a longer deadline of theirs counts as this.", min = "100ms",
-          max = "10m") Duration longest,
-      @Setting(value = "What a client rejected during a stop is told to wait.", min = "0ms", max = "1m")
+      @Setting(value = "Delay after which established clients are moved, at most 0.55 of the time available for the"
+          + " stop but no less than `stop.routed`. Must not exceed `stop.longest`.", min = "0ms", max = "1m")
+      Duration hold,
+      @Setting(value = "Time by which all clients are moved; longer client deadlines are treated as this.",
+          min = "100ms", max = "10m") Duration longest,
+      @Setting(value = "Retry-after of clients that are rejected during a stop.", min = "0ms", max = "1m")
       Duration advice) {}
 
   /** The line front. */
-  @Setting("The line front: the platform's protocol of lines.")
+  @Setting("The line front, which serves the platform's line protocol.")
   public record Line(
-      @Setting(value = "A first line must be whole by then, whatever else comes.", min = "50ms", max = "1m")
+      @Setting(value = "Time limit for a client's complete first line; PINGs do not extend it.",
+          min = "50ms", max = "1m")
       Duration firstLine,
-      @Setting(value = "A client that sent what cannot be read has this long to end its side.", min = "0ms",
-          max = "10s") Duration badLinger,
-      @Setting(value = "PINGs on one connection.", min = "1", max = "10000") int pings) {}
+      @Setting(value = "Time for a client that sent malformed input to end its side of the connection.",
+          min = "0ms", max = "10s") Duration badLinger,
+      @Setting(value = "Maximum number of PINGs on one connection.", min = "1", max = "10000") int pings) {}
 
   /** Connections. */
-  @Setting("What one connection may cost.")
+  @Setting("Limits on connections.")
   public record Sockets(
-      @Setting(value = "After a final answer the peer has this long to end its side.", min = "10ms", max = "1m")
+      @Setting(value = "Time for the peer to end its side of the connection after a final answer.",
+          min = "10ms", max = "1m")
       Duration linger,
-      @Setting(value = "While more than this waits to be written to one side, the other is not read.",
+      @Setting(value = "While more than this is queued to be written to one side, the other side is not read.",
           min = "4KiB", max = "16MiB") Size queue,
-      @Setting(value = "Taken in and thrown away after a final answer; what is over is not read.", min = "0B",
-          max = "16MiB") Size discard,
-      @Setting(value = "Before another try when a connection could not be accepted.", min = "1ms", max = "10s")
+      @Setting(value = "Maximum input that is read and discarded after a final answer; any more is not read.",
+          min = "0B", max = "16MiB") Size discard,
+      @Setting(value = "Pause before the next attempt after a connection could not be accepted.",
+          min = "1ms", max = "10s")
       Duration acceptPause,
-      @Setting(value = "Connections that wait to be accepted.", min = "1", max = "65535", restart = true)
+      @Setting(value = "Maximum number of connections waiting to be accepted.",
+          min = "1", max = "65535", restart = true)
       int backlog) {}
 
   /** The watch on the directory. */
-  @Setting("The watch on the directory.")
+  @Setting("The watch on the directory, by which the proxy receives updates.")
   public record Directory(
-      @Setting(value = "Without a whole line for this long, the watch is renewed.", min = "100ms", max = "10m")
+      @Setting(value = "Time without a complete line after which the watch is renewed.", min = "100ms", max = "10m")
       Duration silence,
-      @Setting(value = "From a call to its first whole line.", min = "100ms", max = "10m") Duration firstAnswer,
-      @Setting(value = "After a failure, before the next watch; doubles with each further one.", min = "1ms",
-          max = "1m") Duration pause,
-      @Setting(value = "The longest such pause.", min = "1ms", max = "10m") Duration pauseMost) {}
-
-  /** What holds where nothing else is set. */
+      @Setting(value = "Time limit from a request to its first complete line.", min = "100ms", max = "10m")
+      Duration firstAnswer,
+      @Setting(value = "Pause before the next watch after a failure; doubled by each further failure, plus up to 100"
+          + " % jitter.", min = "1ms", max = "1m") Duration pause,
+      @Setting(value = "Maximum of this pause, before jitter. Must not be less than `directory.pause`.",
+          min = "1ms", max = "10m") Duration pauseMost) {}
+
+  /** The defaults. */
   public static final Operator DEFAULT = new Operator(
       new Instance("", "", "", "", ""),
       new Log(LogSettings.DEFAULT.format(), LogSettings.DEFAULT.level(), LogSettings.DEFAULT.linesPerSecond(),
           LogSettings.DEFAULT.burst(), new Size(LogSettings.DEFAULT.queueBytes())),
       new Admin("", Duration.ofSeconds(5)),
       new Limits(1024),
-      new Answers(micros(Timing.DEFAULT.answerMarginMicros()), micros(LineLimits.DEFAULT.shortageRetryAfterMicros())),
-      new Silence(micros(Timing.DEFAULT.silenceTimeoutMicros()), micros(Timing.DEFAULT.sharedSilenceTimeoutMicros())),
-      new Stop(micros(Timing.DEFAULT.stopAcceptMicros()), micros(Timing.DEFAULT.stopMoveDelayMicros()),
-          micros(Timing.DEFAULT.maxStopMicros()), micros(Timing.DEFAULT.stopRetryAfterMicros())),
-      new Line(micros(LineLimits.DEFAULT.firstLineTimeoutMicros()), micros(LineLimits.DEFAULT.malformedLingerMicros()),
+      new Answers(duration(Timing.DEFAULT.answerMarginMicros()),
+          duration(LineLimits.DEFAULT.shortageRetryAfterMicros())),
+      new Silence(duration(Timing.DEFAULT.silenceTimeoutMicros()),
+          duration(Timing.DEFAULT.sharedSilenceTimeoutMicros())),
+      new Stop(duration(Timing.DEFAULT.stopAcceptMicros()), duration(Timing.DEFAULT.stopMoveDelayMicros()),
+          duration(Timing.DEFAULT.maxStopMicros()), duration(Timing.DEFAULT.stopRetryAfterMicros())),
+      new Line(duration(LineLimits.DEFAULT.firstLineTimeoutMicros()),
+          duration(LineLimits.DEFAULT.malformedLingerMicros()),
           LineLimits.DEFAULT.maxPings()),
-      new Sockets(micros(SocketLimits.DEFAULT.lingerMicros()), new Size(SocketLimits.DEFAULT.maxQueuedBytes()),
-          new Size(SocketLimits.DEFAULT.maxDiscardedBytes()), micros(SocketLimits.DEFAULT.acceptPauseMicros()),
+      new Sockets(duration(SocketLimits.DEFAULT.lingerMicros()), new Size(SocketLimits.DEFAULT.maxQueuedBytes()),
+          new Size(SocketLimits.DEFAULT.maxDiscardedBytes()), duration(SocketLimits.DEFAULT.acceptPauseMicros()),
           SocketLimits.DEFAULT.backlog()),
-      new Directory(micros(WatchTiming.DEFAULT.silenceTimeoutMicros()),
-      micros(WatchTiming.DEFAULT.firstLineTimeoutMicros()),
-          micros(WatchTiming.DEFAULT.initialPauseMicros()), micros(WatchTiming.DEFAULT.maxPauseMicros())));
+      new Directory(duration(WatchTiming.DEFAULT.silenceTimeoutMicros()),
+          duration(WatchTiming.DEFAULT.firstLineTimeoutMicros()),
+          duration(WatchTiming.DEFAULT.initialPauseMicros()), duration(WatchTiming.DEFAULT.maxPauseMicros())));
 
-  private static Duration micros(long micros) {
+  private static Duration duration(long micros) {
     return Duration.ofNanos(micros * 1000);
   }
 
@@ -148,7 +166,7 @@
     return duration.toNanos() / 1000;
   }
 
-  /** What contradicts itself in it: a message by the key that it is told at. */
+  /** Returns the contradictions between keys: a message by path of the key at which it is reported. */
   Map<String, String> contradictions() {
     Map<String, String> found = new LinkedHashMap<>();
     if (silence.together().compareTo(silence.alone()) > 0) {
@@ -164,50 +182,50 @@
       found.put("directory.pause", "is longer than directory.pause_most");
     }
     if (log.burst() < log.rate()) {
-      found.put("log.burst", "is less than log.rate, which could then never be reached");
+      found.put("log.burst", "is less than log.rate, which could never be reached");
     }
     return found;
   }
 
-  /** These keys, but for those that only a restart takes up, which are as in this other file. */
+  /** Returns these values, except that keys that require a restart have the values of {@code other}. */
   public Operator withRestartKeysOf(Operator other) {
     if (Setup.needRestart(other, this).isEmpty()) {
       return this;
     }
     Map<String, Object> values = Keys.SCHEMA.values(this);
-    Map<String, Object> old = Keys.SCHEMA.values(other);
+    Map<String, Object> otherValues = Keys.SCHEMA.values(other);
     Keys.SCHEMA.keys().forEach((path, key) -> {
       if (key.setting().restart()) {
-        values.put(path, old.get(path));
+        values.put(path, otherValues.get(path));
       }
     });
     return Keys.SCHEMA.bind(values);
   }
 
-  /** The log's part, as the log takes it. */
+  /** Returns the settings of the log. */
   public LogSettings logSettings() {
     return new LogSettings(log.format(), log.level(), log.rate(), log.burst(), (int) log.queue().bytes());
   }
 
-  /** The core's part, as the core takes it. */
+  /** Returns the timing of the core. */
   public Timing timing() {
     return new Timing(micros(answers.margin()), micros(silence.alone()), micros(silence.together()),
         micros(stop.routed()), micros(stop.hold()), micros(stop.longest()), micros(stop.advice()));
   }
 
-  /** The line front's part, as it takes it. */
+  /** Returns the limits of the line front. */
   public LineLimits lineLimits() {
     return new LineLimits(micros(line.firstLine()), micros(line.badLinger()), line.pings(),
         micros(answers.crowdedAdvice()));
   }
 
-  /** The connections' part, as the transport takes it. */
+  /** Returns the limits of connections, for the transport. */
   public SocketLimits socketLimits() {
     return new SocketLimits(micros(sockets.linger()), (int) sockets.queue().bytes(),
         (int) sockets.discard().bytes(), micros(sockets.acceptPause()), sockets.backlog());
   }
 
-  /** The watch's part, as the watch takes it. */
+  /** Returns the timing of the directory watch. */
   public WatchTiming watchTiming() {
     return new WatchTiming(micros(directory.silence()), micros(directory.firstAnswer()), micros(directory.pause()),
         micros(directory.pauseMost()));
--- a/proxy/src/main/java/amberhoist/config/Setup.java
+++ b/proxy/src/main/java/amberhoist/config/Setup.java
@@ -14,55 +14,70 @@
 import java.util.Map;
 
 /**
- * All that a proxy is told: the platform's JSON and the operator's keys, from every source. Sources go before one
- * another in this order, the last first: defaults, operator's file, platform's JSON, environment, flags.
+ * The complete configuration of a proxy: the platform's JSON and the operator's keys, merged from all sources. In order
+ * of increasing precedence the sources are: defaults, operator's file, platform's JSON, environment, flags.
  *
- * <p>Where no file, flag or variable of the operator's is given, as on the platform, none of the machinery for it
- * is loaded.
+ * <p>If no operator's file, flag or {@code AMBERHOIST_} variable is given, as on the platform, the classes that process
+ * the operator's keys are not loaded.
  *
- * @param operator the operator's keys, effective
- * @param origins where each key that is not at its default comes from
+ * @param config the platform's configuration
+ * @param operator the effective values of the operator's keys
+ * @param origins origin of each key that a source sets, by path: a file, an environment variable or a flag
  */
 public record Setup(Config config, Operator operator, Map<String, String> origins) {
-  private static final String PREFIX = "AMBERHOIST_";
+  private static final String VARIABLE_PREFIX = "AMBERHOIST_";
 
   /**
-   * Where a setup is read from.
+   * The sources from which a configuration is read.
    *
-   * @param file the operator's file, null for none
-   * @param flags keys set on the command line, by path
+   * @param file the operator's file, null if there is none
+   * @param flags values of keys set on the command line, by path
+   * @param environment the environment variables
    */
   public record Sources(Path file, Map<String, String> flags, Map<String, String> environment) {
-    /** The environment alone, as on the platform. */
+    /** Returns sources without flags; the operator's file is the one that {@code AMBERHOIST_CONFIG} names, if any. */
     public static Sources of(Map<String, String> environment) {
-      String file = environment.get(PREFIX + "CONFIG");
+      String file = environment.get(VARIABLE_PREFIX + "CONFIG");
       return new Sources(file == null || file.isEmpty() ? null : Path.of(file), Map.of(), environment);
     }
 
-    private boolean plain() {
+    /** Returns whether only the platform's variables are given: no operator's file, flag or key in the environment. */
+    private boolean isPlatformOnly() {
       return file == null && flags.isEmpty()
-          && environment.keySet().stream().noneMatch(name -> name.startsWith(PREFIX));
+          && environment.keySet().stream().noneMatch(name -> name.startsWith(VARIABLE_PREFIX));
     }
   }
 
-  /** The operator's keys from these sources, and what is wrong with them. */
+  /**
+   * The result of reading the operator's keys.
+   *
+   * @param operator the effective values
+   * @param origins origin of each key that a source sets, by path
+   * @param problems all problems found, empty if the configuration is valid
+   */
   public record Reading(Operator operator, Map<String, String> origins, List<Problem> problems) {}
 
-  /** Reads all sources for a start; a problem in any of them is told with all the others. */
+  /**
+   * Reads all sources when the proxy starts.
+   *
+   * @throws BadConfig with all problems of all sources, if there are any
+   */
   public static Setup load(Sources sources, Clock clock) throws BadConfig {
     return load(sources, clock, false);
   }
 
   /**
-   * Reads them again while the proxy runs. The variable {@code LB_DISCOVERY} then no longer counts: it still
+   * Reads all sources again while the proxy runs. The variable {@code LB_DISCOVERY} is then ignored, since it still
    * names the address from the start of the process.
+   *
+   * @throws BadConfig with all problems of all sources, if there are any
    */
   public static Setup reload(Sources sources, Clock clock) throws BadConfig {
     return load(sources, clock, true);
   }
 
   private static Setup load(Sources sources, Clock clock, boolean reload) throws BadConfig {
-    if (sources.plain()) {
+    if (sources.isPlatformOnly()) {
       Map<String, String> environment = sources.environment();
       Config config = reload ? Config.reload(environment, clock) : Config.load(environment, clock);
       return new Setup(config, Operator.DEFAULT, Map.of());
@@ -71,7 +86,7 @@
     Operator operator = reading.operator();
     Config config = null;
     try {
-      config = Config.load(environment(sources.environment(), operator), clock);
+      config = Config.load(effectiveEnvironment(sources.environment(), operator), clock);
     } catch (BadConfig fault) {
       reading.problems().add(new Problem("platform", "", fault.getMessage()));
     }
@@ -81,8 +96,8 @@
     return new Setup(config.withSockets(operator.limits().descriptors()), operator, reading.origins());
   }
 
-  /** The platform's variables, as the operator's keys have them after every source was heard. */
-  private static Map<String, String> environment(Map<String, String> environment, Operator operator) {
+  /** Returns the environment with the platform's variables set to the effective values of the operator's keys. */
+  private static Map<String, String> effectiveEnvironment(Map<String, String> environment, Operator operator) {
     Map<String, String> effective = new HashMap<>(environment);
     Map.of("LB_NAME", operator.instance().name(), "LB_LISTEN", operator.instance().listen(), "LB_DISCOVERY",
         operator.instance().directory(), "LB_CONFIG", operator.instance().platform(), "LB_MGMT",
@@ -96,7 +111,7 @@
     return effective;
   }
 
-  /** Reads the operator's keys from all sources, and tells all that is wrong with them. */
+  /** Reads the operator's keys from all sources and validates them; problems are part of the result. */
   public static Reading read(Sources sources, boolean reload) {
     List<Problem> problems = new ArrayList<>();
     List<Layer> layers = new ArrayList<>();
@@ -107,9 +122,9 @@
     Layer flags = Layer.flags(sources.flags());
     String platform = "";
     for (Layer layer : layers) {
-      platform = text(layer, platform);
+      platform = platformFile(layer, platform);
     }
-    platform = text(flags, text(environment, platform));
+    platform = platformFile(flags, platformFile(environment, platform));
     if (!platform.isEmpty()) {
       layers.add(Layer.platform(Path.of(platform)));
     }
@@ -118,9 +133,10 @@
     return merge(layers, problems);
   }
 
-  private static String text(Layer layer, String otherwise) {
+  /** Returns the path of the platform's JSON file that the layer sets, or else the default. */
+  private static String platformFile(Layer layer, String defaultFile) {
     Written value = layer.values().get("instance.platform");
-    return value == null ? otherwise : value.text();
+    return value == null ? defaultFile : value.text();
   }
 
   private static Reading merge(List<Layer> layers, List<Problem> problems) {
@@ -144,27 +160,27 @@
   }
 
   private static Object check(String path, Written written) {
-    Object read = Keys.SCHEMA.check(path, written);
+    Object value = Keys.SCHEMA.check(path, written);
     if (path.equals("admin.listen")) {
-      AdminAddress.parse((String) read);
+      AdminAddress.parse((String) value);
     }
-    return read;
+    return value;
   }
 
-  /** The effective keys of a setup as text, with where each comes from. */
+  /** Formats the effective values of the operator's keys, one per line, each with its origin. */
   public static String show(Setup setup) {
     return Reference.show(new Reading(setup.operator(), setup.origins(), List.of()));
   }
 
-  /** The keys that differ between two setups and that only a restart takes up. */
+  /** Returns the paths of keys whose values differ and that take effect only after a restart. */
   public static List<String> needRestart(Operator before, Operator after) {
     if (before.equals(after)) {
       return List.of();
     }
-    Map<String, Object> old = Keys.SCHEMA.values(before);
-    Map<String, Object> fresh = Keys.SCHEMA.values(after);
+    Map<String, Object> oldValues = Keys.SCHEMA.values(before);
+    Map<String, Object> newValues = Keys.SCHEMA.values(after);
     return Keys.SCHEMA.keys().values().stream()
-        .filter(key -> key.setting().restart() && !old.get(key.path()).equals(fresh.get(key.path())))
+        .filter(key -> key.setting().restart() && !oldValues.get(key.path()).equals(newValues.get(key.path())))
         .map(Key::path).toList();
   }
 }
--- a/proxy/src/main/java/amberhoist/config/schema/Problem.java
+++ b/proxy/src/main/java/amberhoist/config/schema/Problem.java
@@ -1,11 +1,11 @@
 package amberhoist.config.schema;
 
 /**
- * Something that is wrong with a configuration.
+ * A problem found in a configuration.
  *
- * @param where the file with its line, the variable or the flag
- * @param key the key's path, empty where it is not one key
- * @param message what is wrong, and what was expected
+ * @param where origin of the problem: a file and line, an environment variable or a flag
+ * @param key path of the key, empty if the problem does not concern a single key
+ * @param message what is wrong and what was expected
  */
 public record Problem(String where, String key, String message) {
   @Override
--- a/proxy/src/main/java/amberhoist/config/schema/Schema.java
+++ b/proxy/src/main/java/amberhoist/config/schema/Schema.java
@@ -15,71 +15,81 @@
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
 /**
- * What a file may hold, read from records: a component is a key; where its type is a record, a table; where it is a
- * list of records, an array of tables, whose paths carry numbers as in {@code fault.0.at}. An element record holds its
- * defaults in a static field {@code DEFAULT}.
+ * The keys that a TOML file may contain, derived from a record by reflection. A record component is a key. If its type
+ * is a record, it is a table. If it is a list of records, it is an array of tables whose paths contain the index of the
+ * element, as in {@code fault.0.at}; the record of the elements has its defaults in a static field {@code DEFAULT}.
  *
- * @param <T> the record that a whole file is bound to
+ * <p>A component name in camel case is a key in lower case with underscores.
+ *
+ * @param <T> the record to which a whole file is bound
  */
 public final class Schema<T extends Record> {
   /**
    * One key.
    *
    * @param path such as {@code log.level}, or {@code fault.*.at} in an array of tables
-   * @param type the type of its value, or of its elements where it is a list
-   * @param list whether it is a list of plain values
-   * @param initial its default
+   * @param type the type of the value, or of the elements if the value is a list
+   * @param list whether the value is a list of scalars
+   * @param setting description and bounds
+   * @param initial the default value
    */
   public record Key(String path, Class<?> type, boolean list, Setting setting, Object initial) {}
 
-  private static final Pattern NUMBER = Pattern.compile("\\.\\d+(?=\\.|$)");
+  private static final Pattern INDEX = Pattern.compile("\\.\\d+(?=\\.|$)");
 
   private final Class<T> root;
   private final T defaults;
   private final Map<String, Key> keys = new LinkedHashMap<>();
   private final Map<String, Setting> tables = new LinkedHashMap<>();
 
-  /** The schema of this record, with these defaults. */
+  /**
+   * Creates the schema of a record.
+   *
+   * @param defaults the default values of all keys outside arrays of tables
+   */
   public Schema(Class<T> root, T defaults) {
     this.root = root;
     this.defaults = defaults;
-    walk("", root, defaults);
+    register("", root, defaults);
   }
 
-  private void walk(String prefix, Class<?> type, Object of) {
+  /** Registers the keys and tables of a record type. */
+  private void register(String prefix, Class<?> type, Object instance) {
     for (RecordComponent component : type.getRecordComponents()) {
-      String path = prefix + name(component);
-      Class<?> element = element(component);
-      Object value = get(component, of);
+      String path = prefix + keyName(component);
+      Class<?> element = elementType(component);
+      Object value = read(component, instance);
       if (component.getType().isRecord() && component.getType() != Size.class) {
-        tables.put(path, setting(component));
-        walk(path + '.', component.getType(), value);
+        tables.put(path, settingOf(component));
+        register(path + '.', component.getType(), value);
       } else if (element != null && element.isRecord() && element != Size.class) {
-        tables.put(path + ".*", setting(component));
-        walk(path + ".*.", element, initial(element));
+        tables.put(path + ".*", settingOf(component));
+        register(path + ".*.", element, defaultOf(element));
       } else {
-        Class<?> plain = element == null ? component.getType() : primitive(element);
-        keys.put(path, new Key(path, plain, element != null, component.getAnnotation(Setting.class), value));
+        Class<?> valueType = element == null ? component.getType() : unboxed(element);
+        keys.put(path, new Key(path, valueType, element != null, component.getAnnotation(Setting.class), value));
       }
     }
   }
 
-  private static Setting setting(RecordComponent component) {
+  /** Returns the annotation of the component, or else that of its record type; null if neither has one. */
+  private static Setting settingOf(RecordComponent component) {
     Setting own = component.getAnnotation(Setting.class);
-    Class<?> element = element(component);
+    Class<?> element = elementType(component);
     return own != null ? own : (element == null ? component.getType() : element).getAnnotation(Setting.class);
   }
 
-  private static Class<?> element(RecordComponent component) {
+  /** Returns the element type of a list, or null if the component is no list. */
+  private static Class<?> elementType(RecordComponent component) {
     return component.getGenericType() instanceof ParameterizedType type && component.getType() == List.class
         ? (Class<?>) type.getActualTypeArguments()[0] : null;
   }
 
-  private static Class<?> primitive(Class<?> boxed) {
+  private static Class<?> unboxed(Class<?> boxed) {
     return boxed == Integer.class ? int.class : boxed == Double.class ? double.class : boxed;
   }
 
-  private static Object initial(Class<?> element) {
+  private static Object defaultOf(Class<?> element) {
     try {
       return element.getField("DEFAULT").get(null);
     } catch (ReflectiveOperationException fault) {
@@ -87,123 +97,128 @@
     }
   }
 
-  private static String name(RecordComponent component) {
+  private static String keyName(RecordComponent component) {
     return component.getName().replaceAll("([A-Z])", "_$1").toLowerCase(Locale.ROOT);
   }
 
-  private static Object get(RecordComponent component, Object of) {
+  private static Object read(RecordComponent component, Object instance) {
     try {
-      return component.getAccessor().invoke(of);
+      return component.getAccessor().invoke(instance);
     } catch (ReflectiveOperationException impossible) {
       throw new IllegalStateException(impossible); // accessors of public records are public
     }
   }
 
-  /** All keys by their paths, in the order of the records. */
+  /** Returns all keys by path, in the order of the record components. */
   public Map<String, Key> keys() {
     return keys;
   }
 
-  /** All tables by their paths. */
+  /** Returns the descriptions of all tables by path; the path of an array of tables ends in {@code .*}. */
   public Map<String, Setting> tables() {
     return tables;
   }
 
+  /** Replaces the indices in a path by {@code *}. */
   private static String pattern(String path) {
-    return NUMBER.matcher(path).replaceAll(".*");
+    return INDEX.matcher(path).replaceAll(".*");
   }
 
-  /** The key of this path, or null. */
+  /** Returns the key at this path, or null if there is none. */
   public Key key(String path) {
     return keys.get(pattern(path));
   }
 
-  /** Whether a table stands at this path, or an array of tables. */
+  /** Returns whether the path is that of a table or an array of tables; the empty path is the root table. */
   public boolean table(String path) {
     String pattern = pattern(path);
     return path.isEmpty() || tables.containsKey(pattern) || tables.containsKey(pattern + ".*");
   }
 
-  /** The value that was written at this path, or {@link IllegalArgumentException} with what was expected. */
+  /**
+   * Parses and validates the value at a path.
+   *
+   * @throws IllegalArgumentException if the key is unknown or the value invalid; the message says what was expected
+   */
   public Object check(String path, Written written) {
     Key key = key(path);
     if (key == null) {
       if (table(path)) {
         throw new IllegalArgumentException("expected a table of keys");
       }
-      String near = nearest(path);
-      throw new IllegalArgumentException("unknown key" + (near == null ? "" : "; the nearest known is " + near));
+      String similar = nearest(path);
+      throw new IllegalArgumentException("unknown key" + (similar == null ? "" : "; the nearest known is " + similar));
     }
     if (!key.list()) {
-      return plain(key, written);
+      return parseScalar(key, written);
     }
     if (written.items() == null) {
       throw new IllegalArgumentException("expected a list, each " + Values.expected(key.type()));
     }
     List<Object> items = new ArrayList<>();
     for (Written item : written.items()) {
-      items.add(plain(key, item));
+      items.add(parseScalar(key, item));
     }
     return List.copyOf(items);
   }
 
-  private static Object plain(Key key, Written written) {
+  private static Object parseScalar(Key key, Written written) {
     if (!written.plain() || written.quoted() != null && written.quoted() != Values.quoted(key.type())) {
       throw new IllegalArgumentException("expected " + Values.expected(key.type()));
     }
-    Object read;
+    Object value;
     try {
-      read = Values.parse(key.type(), written.text());
+      value = Values.parse(key.type(), written.text());
     } catch (IllegalArgumentException fault) {
       throw new IllegalArgumentException("expected " + fault.getMessage() + ", not \"" + written.text() + '"', fault);
     }
     String min = key.setting().min();
     String max = key.setting().max();
-    if (!min.isEmpty() && compare(read, Values.parse(key.type(), min)) < 0
-        || !max.isEmpty() && compare(read, Values.parse(key.type(), max)) > 0) {
-      throw new IllegalArgumentException("expected " + min + " to " + max + ", not " + Values.write(read));
+    if (!min.isEmpty() && compare(value, Values.parse(key.type(), min)) < 0
+        || !max.isEmpty() && compare(value, Values.parse(key.type(), max)) > 0) {
+      throw new IllegalArgumentException("expected " + min + " to " + max + ", not " + Values.write(value));
     }
-    return read;
+    return value;
   }
 
-  private static int compare(Object one, Object other) {
-    if (one instanceof Duration duration) {
+  private static int compare(Object value, Object other) {
+    if (value instanceof Duration duration) {
       return duration.compareTo((Duration) other);
-    } else if (one instanceof Size size) {
+    } else if (value instanceof Size size) {
       return size.compareTo((Size) other);
     }
-    return Double.compare(((Number) one).doubleValue(), ((Number) other).doubleValue());
+    return Double.compare(((Number) value).doubleValue(), ((Number) other).doubleValue());
   }
 
-  /** Binds these checked values by path; a path that is missing takes its default. */
+  /** Creates a record from validated values by path; a key without a value has its default. */
   public T bind(Map<String, Object> values) {
     return root.cast(bind("", root, defaults, new TreeMap<>(values)));
   }
 
-  private static Object bind(String prefix, Class<?> type, Object of, TreeMap<String, Object> values) {
+  private static Object bind(String prefix, Class<?> type, Object instance, TreeMap<String, Object> values) {
     List<Object> arguments = new ArrayList<>();
     for (RecordComponent component : type.getRecordComponents()) {
-      String path = prefix + name(component);
-      Class<?> element = element(component);
-      Object initial = get(component, of);
+      String path = prefix + keyName(component);
+      Class<?> element = elementType(component);
+      Object defaultValue = read(component, instance);
       if (component.getType().isRecord() && component.getType() != Size.class) {
-        arguments.add(bind(path + '.', component.getType(), initial, values));
+        arguments.add(bind(path + '.', component.getType(), defaultValue, values));
       } else if (element != null && element.isRecord() && element != Size.class) {
-        int count = count(path + '.', values);
+        int count = elementCount(path + '.', values);
         List<Object> items = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-          items.add(bind(path + '.' + i + '.', element, initial(element), values));
+          items.add(bind(path + '.' + i + '.', element, defaultOf(element), values));
         }
-        arguments.add(count == 0 ? initial : List.copyOf(items));
+        arguments.add(count == 0 ? defaultValue : List.copyOf(items));
       } else {
-        arguments.add(values.getOrDefault(path, initial));
+        arguments.add(values.getOrDefault(path, defaultValue));
       }
     }
     return construct(type, arguments);
   }
 
-  /** How many elements an array of tables has: one more than the highest number that a path carries. */
-  private static int count(String prefix, TreeMap<String, Object> values) {
+  /** Returns the number of elements of an array of tables: one more than the highest index in a path. */
+  private static int elementCount(String prefix, TreeMap<String, Object> values) {
     int count = 0;
     for (String path : values.tailMap(prefix).keySet()) {
       if (!path.startsWith(prefix)) {
@@ -220,70 +235,70 @@
       Constructor<?> canonical = type.getDeclaredConstructors()[0];
       return canonical.newInstance(arguments.toArray());
     } catch (ReflectiveOperationException impossible) {
-      throw new IllegalStateException(impossible); // the records have one public constructor each
+      throw new IllegalStateException(impossible); // each of the records has one public constructor
     }
   }
 
-  /** The values of a bound record by path, but for arrays of tables. */
-  public Map<String, Object> values(T of) {
+  /** Returns the values of a record by path; an array of tables is a single value, a list of records. */
+  public Map<String, Object> values(T instance) {
     Map<String, Object> values = new LinkedHashMap<>();
-    values("", root, of, values);
+    values("", root, instance, values);
     return values;
   }
 
-  private static void values(String prefix, Class<?> type, Object of, Map<String, Object> values) {
+  private static void values(String prefix, Class<?> type, Object instance, Map<String, Object> values) {
     for (RecordComponent component : type.getRecordComponents()) {
       if (component.getType().isRecord() && component.getType() != Size.class) {
-        values(prefix + name(component) + '.', component.getType(), get(component, of), values);
+        values(prefix + keyName(component) + '.', component.getType(), read(component, instance), values);
       } else {
-        values.put(prefix + name(component), get(component, of));
+        values.put(prefix + keyName(component), read(component, instance));
       }
     }
   }
 
-  /** The key that is written most like this, or null when none is near. */
+  /** Returns the path of the key with the most similar spelling, or null if none is similar. */
   public String nearest(String path) {
     LevenshteinDistance distance = LevenshteinDistance.getDefaultInstance();
     String pattern = pattern(path);
-    String last = path.substring(path.lastIndexOf('.') + 1);
-    String best = null;
-    int least = Integer.MAX_VALUE;
+    String name = path.substring(path.lastIndexOf('.') + 1);
+    String nearest = null;
+    int minDistance = Integer.MAX_VALUE;
     for (String known : keys.keySet()) {
-      String knownLast = known.substring(known.lastIndexOf('.') + 1);
-      int whole = distance.apply(pattern, known);
-      int part = distance.apply(last, knownLast) + 1; // the right key in the wrong table
-      int steps = Math.min(whole, part);
-      if (steps < least && steps <= Math.max(2, knownLast.length() / 2)) {
-        least = steps;
-        best = known;
+      String knownName = known.substring(known.lastIndexOf('.') + 1);
+      int pathDistance = distance.apply(pattern, known);
+      int nameDistance = distance.apply(name, knownName) + 1; // a known key in another table
+      int steps = Math.min(pathDistance, nameDistance);
+      if (steps < minDistance && steps <= Math.max(2, knownName.length() / 2)) {
+        minDistance = steps;
+        nearest = known;
       }
     }
-    return best;
+    return nearest;
   }
 
-  /** The reference of all keys as Markdown, a section for each table. */
+  /** Returns the reference of all keys as Markdown, with a section for each table. */
   public String reference() {
     StringBuilder out = new StringBuilder();
     if (keys.keySet().stream().anyMatch(path -> path.indexOf('.') < 0)) {
-      section(out, "", "");
+      appendSection(out, "", "");
     }
     for (Map.Entry<String, Setting> table : tables.entrySet()) {
       Matcher array = Pattern.compile("(.*)\\.\\*").matcher(table.getKey());
-      String open = array.matches() ? "[[" + array.group(1) + "]]" : "[" + table.getKey() + "]";
-      out.append("\n## `").append(open).append("`\n\n").append(table.getValue().value()).append('\n');
-      section(out, table.getKey() + '.', table.getKey());
+      String header = array.matches() ? "[[" + array.group(1) + "]]" : "[" + table.getKey() + "]";
+      out.append("\n## `").append(header).append("`\n\n").append(table.getValue().value()).append('\n');
+      appendSection(out, table.getKey() + '.', table.getKey());
     }
     return out.toString();
   }
 
-  private void section(StringBuilder out, String prefix, String table) {
+  private void appendSection(StringBuilder out, String prefix, String table) {
     out.append("\n| key | type | default | from | to | change | effect |\n")
         .append("| --- | --- | --- | --- | --- | --- | --- |\n");
     for (Key key : keys.values()) {
       int last = key.path().lastIndexOf('.');
       if ((last < 0 ? "" : key.path().substring(0, last)).equals(table)) {
         Setting setting = key.setting();
-        out.append("| `").append(key.path().replace(".*", "")).append("` | ").append(word(key)).append(" | `")
+        out.append("| `").append(key.path().replace(".*", "")).append("` | ").append(typeName(key)).append(" | `")
             .append(Values.toml(key.initial())).append("` | ").append(setting.min()).append(" | ")
             .append(setting.max()).append(" | ").append(setting.restart() ? "restart" : "SIGHUP")
             .append(" | ").append(setting.value()).append(" |\n");
@@ -291,8 +306,8 @@
     }
   }
 
-  private static String word(Key key) {
-    String word = key.type().isEnum() ? "word" : switch (key.type().getSimpleName()) {
+  private static String typeName(Key key) {
+    String name = key.type().isEnum() ? "word" : switch (key.type().getSimpleName()) {
       case "int" -> "whole number";
       case "double" -> "number";
       case "boolean" -> "true or false";
@@ -300,6 +315,6 @@
       case "Size" -> "size";
       default -> "text";
     };
-    return key.list() ? "list of " + word : word;
+    return key.list() ? "list of " + name : name;
   }
 }
--- a/proxy/src/main/java/amberhoist/config/schema/Setting.java
+++ b/proxy/src/main/java/amberhoist/config/schema/Setting.java
@@ -5,19 +5,22 @@
 import java.lang.annotation.RetentionPolicy;
 import java.lang.annotation.Target;
 
-/** What the reference page and the checks know of a key or a table of the operator's file, beside its type. */
+/**
+ * Describes a key or a table of a TOML file, for validation and for the reference page. The type is that of the record
+ * component.
+ */
 @Retention(RetentionPolicy.RUNTIME)
 @Target({ElementType.RECORD_COMPONENT, ElementType.TYPE})
 public @interface Setting {
-  /** What it is for, and its effect. */
+  /** The purpose and effect of the key or table, as Markdown. */
   String value();
 
-  /** The least value, written as in the file; none when empty. */
+  /** The minimum value, written as in the file; empty for no minimum. */
   String min() default "";
 
-  /** The greatest value, written as in the file; none when empty. */
+  /** The maximum value, written as in the file; empty for no maximum. */
   String max() default "";
 
-  /** Whether a change waits for a restart. */
+  /** Whether a change takes effect only after a restart. */
   boolean restart() default false;
 }
--- a/proxy/src/main/java/amberhoist/config/schema/Size.java
+++ b/proxy/src/main/java/amberhoist/config/schema/Size.java
@@ -1,12 +1,12 @@
 package amberhoist.config.schema;
 
-/** An amount of memory. */
+/** An amount of memory in bytes. */
 public record Size(long bytes) implements Comparable<Size> {
-  private static final long KIB = 1024;
+  private static final long BYTES_PER_KIB = 1024;
 
-  /** So many KiB. */
+  /** Returns a size of {@code count} KiB. */
   public static Size kib(long count) {
-    return new Size(count * KIB);
+    return new Size(count * BYTES_PER_KIB);
   }
 
   @Override
@@ -14,11 +14,12 @@
     return Long.compare(bytes, other.bytes);
   }
 
+  /** Returns the size in the largest of MiB, KiB and B that needs no fraction. */
   @Override
   public String toString() {
-    if (bytes > 0 && bytes % (KIB * KIB) == 0) {
-      return bytes / (KIB * KIB) + "MiB";
+    if (bytes > 0 && bytes % (BYTES_PER_KIB * BYTES_PER_KIB) == 0) {
+      return bytes / (BYTES_PER_KIB * BYTES_PER_KIB) + "MiB";
     }
-    return bytes > 0 && bytes % KIB == 0 ? bytes / KIB + "KiB" : bytes + "B";
+    return bytes > 0 && bytes % BYTES_PER_KIB == 0 ? bytes / BYTES_PER_KIB + "KiB" : bytes + "B";
   }
 }
--- a/proxy/src/main/java/amberhoist/config/schema/TomlSource.java
+++ b/proxy/src/main/java/amberhoist/config/schema/TomlSource.java
@@ -15,104 +15,110 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads a TOML file into values by path, each with the line it stands on. Jackson reads TOML whole and keeps no places,
- * so the lines of tables and keys are looked up beside it; a value that a key's line cannot be found for is told at its
- * table's.
+ * Reads a TOML file into values by path, each with its line number. Jackson's TOML parser does not retain the positions
+ * of values, so a separate scan of the text finds the lines of tables and keys. A value whose own line is not found is
+ * reported at the line of its table.
  */
 public final class TomlSource {
-  private static final Pattern ARRAY = Pattern.compile("\\s*\\[\\[\\s*([^\\]#]+?)\\s*\\]\\].*");
-  private static final Pattern TABLE = Pattern.compile("\\s*\\[\\s*([^\\]#\\[]+?)\\s*\\].*");
+  private static final Pattern ARRAY_HEADER = Pattern.compile("\\s*\\[\\[\\s*([^\\]#]+?)\\s*\\]\\].*");
+  private static final Pattern TABLE_HEADER = Pattern.compile("\\s*\\[\\s*([^\\]#\\[]+?)\\s*\\].*");
   private static final Pattern ENTRY = Pattern.compile("\\s*([A-Za-z0-9_.\"' -]+?)\\s*=.*");
 
   private final Schema<?> schema;
-  private final String name;
+  private final String fileName;
   private final Map<String, Integer> lines;
   private final Map<String, Written> values = new LinkedHashMap<>();
 
-  private TomlSource(Schema<?> schema, String name, Map<String, Integer> lines) {
+  private TomlSource(Schema<?> schema, String fileName, Map<String, Integer> lines) {
     this.schema = schema;
-    this.name = name;
+    this.fileName = fileName;
     this.lines = lines;
   }
 
-  /** The values of a file by path; what cannot be read or parsed is a problem, and the values are then empty. */
+  /** Returns the values of a file by path. If it cannot be read or parsed, adds a problem and returns an empty map. */
   public static Map<String, Written> read(Schema<?> schema, Path file, List<Problem> problems) {
     try {
       String text = Files.readString(file);
-      TomlSource source = new TomlSource(schema, file.toString(), lines(text));
+      TomlSource source = new TomlSource(schema, file.toString(), findLines(text));
       source.flatten("", new TomlMapper().readTree(text));
       return source.values;
     } catch (JsonProcessingException fault) {
       int line = fault.getLocation() == null ? 1 : Math.max(1, fault.getLocation().getLineNr());
-      problems.add(new Problem(file + ":" + line, "", "no TOML: " + fault.getOriginalMessage()));
+      problems.add(new Problem(file + ":" + line, "", "invalid TOML: " + fault.getOriginalMessage()));
     } catch (IOException fault) {
       problems.add(new Problem(file.toString(), "", "cannot be read: " + fault));
     }
     return new LinkedHashMap<>();
   }
 
-  private static Map<String, Integer> lines(String text) {
+  /** Returns the line numbers of table headers and keys by path, from 1. */
+  private static Map<String, Integer> findLines(String text) {
     Map<String, Integer> lines = new HashMap<>();
-    Map<String, Integer> elements = new HashMap<>();
+    Map<String, Integer> elementCounts = new HashMap<>();
     String table = "";
-    int number = 0;
+    int lineNumber = 0;
     for (String line : text.lines().toList()) {
-      number++;
-      Matcher matcher = ARRAY.matcher(line);
+      lineNumber++;
+      Matcher matcher = ARRAY_HEADER.matcher(line);
       if (matcher.matches()) {
-        String array = bare(matcher.group(1));
-        table = array + '.' + (elements.merge(array, 1, Integer::sum) - 1);
-        lines.putIfAbsent(table, number);
+        String array = unquote(matcher.group(1));
+        table = array + '.' + (elementCounts.merge(array, 1, Integer::sum) - 1);
+        lines.putIfAbsent(table, lineNumber);
         continue;
       }
-      matcher = TABLE.matcher(line);
+      matcher = TABLE_HEADER.matcher(line);
       if (matcher.matches()) {
-        table = bare(matcher.group(1));
-        lines.putIfAbsent(table, number);
+        table = unquote(matcher.group(1));
+        lines.putIfAbsent(table, lineNumber);
         continue;
       }
       matcher = ENTRY.matcher(line);
       if (matcher.matches()) {
-        String key = bare(matcher.group(1));
-        lines.putIfAbsent(table.isEmpty() ? key : table + '.' + key, number);
+        String key = unquote(matcher.group(1));
+        lines.putIfAbsent(table.isEmpty() ? key : table + '.' + key, lineNumber);
       }
     }
     return lines;
   }
 
-  private static String bare(String key) {
+  /** Removes quotes and spaces from a dotted key. */
+  private static String unquote(String key) {
     return key.replaceAll("[\"' ]", "");
   }
 
-  private String where(String path) {
-    for (String at = path; ; at = at.substring(0, at.lastIndexOf('.'))) {
-      if (lines.containsKey(at) || at.indexOf('.') < 0) {
-        return name + ':' + lines.getOrDefault(at, 1);
+  /** Returns the file and line of the path, or of the nearest enclosing table with a known line. */
+  private String locate(String path) {
+    for (String prefix = path; ; prefix = prefix.substring(0, prefix.lastIndexOf('.'))) {
+      if (lines.containsKey(prefix) || prefix.indexOf('.') < 0) {
+        return fileName + ':' + lines.getOrDefault(prefix, 1);
       }
     }
   }
 
+  /**
+   * Adds the values below this node. An empty table that the schema does not know is added too, so that it is reported.
+   */
   private void flatten(String path, JsonNode node) {
-    boolean key = schema.key(path) != null;
-    boolean nothing = node.isEmpty() && !schema.table(path);
-    if (node.isObject() && !key && !nothing) {
+    boolean isKey = schema.key(path) != null;
+    boolean isUnknownAndEmpty = node.isEmpty() && !schema.table(path);
+    if (node.isObject() && !isKey && !isUnknownAndEmpty) {
       node.fields().forEachRemaining(field ->
           flatten(path.isEmpty() ? field.getKey() : path + '.' + field.getKey(), field.getValue()));
-    } else if (node.isArray() && !key && !node.isEmpty() && node.get(0).isObject()) {
+    } else if (node.isArray() && !isKey && !node.isEmpty() && node.get(0).isObject()) {
       for (int i = 0; i < node.size(); i++) {
         flatten(path + '.' + i, node.get(i));
       }
     } else {
-      values.put(path, written(where(path), node));
+      values.put(path, toWritten(locate(path), node));
     }
   }
 
-  private static Written written(String where, JsonNode node) {
+  private static Written toWritten(String where, JsonNode node) {
     List<Written> items = null;
     if (node.isArray()) {
       items = new ArrayList<>();
       for (JsonNode item : node) {
-        items.add(written(where, item));
+        items.add(toWritten(where, item));
       }
     }
     return new Written(where, node.asText(), node.isTextual(), items, node.isValueNode());
--- a/proxy/src/main/java/amberhoist/config/schema/Values.java
+++ b/proxy/src/main/java/amberhoist/config/schema/Values.java
@@ -8,13 +8,17 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 
-/** Values as the operator's file writes them, with the unit in the value. */
+/** Parses and formats values in the syntax of the operator's file, where quantities carry a unit. */
 public final class Values {
-  private static final Pattern AMOUNT = Pattern.compile("(\\d{1,15})(us|ms|s|m|h|B|KiB|MiB|GiB)");
+  private static final Pattern QUANTITY = Pattern.compile("(\\d{1,15})(us|ms|s|m|h|B|KiB|MiB|GiB)");
 
   private Values() {}
 
-  /** Reads a value of this type, or throws with what was expected. */
+  /**
+   * Parses a value of this type, which is an enum, String, Duration, Size, int, double or boolean.
+   *
+   * @throws IllegalArgumentException if the text is not such a value; the message says what was expected
+   */
   public static Object parse(Class<?> type, String text) {
     if (type == String.class) {
       return text;
@@ -33,7 +37,7 @@
           return value;
         }
       } catch (NumberFormatException fault) {
-        // told below
+        // reported below
       }
       throw new IllegalArgumentException(expected(type));
     }
@@ -44,10 +48,10 @@
       throw new IllegalArgumentException(expected(type));
     }
     if (type == Duration.class) {
-      return duration(text);
+      return parseDuration(text);
     }
     if (type == Size.class) {
-      return size(text);
+      return parseSize(text);
     }
     for (Object constant : type.getEnumConstants()) {
       if (write(constant).equals(text)) {
@@ -57,8 +61,8 @@
     throw new IllegalArgumentException(expected(type));
   }
 
-  private static Duration duration(String text) {
-    Matcher matcher = AMOUNT.matcher(text);
+  private static Duration parseDuration(String text) {
+    Matcher matcher = QUANTITY.matcher(text);
     Duration unit = !matcher.matches() ? null : switch (matcher.group(2)) {
       case "us" -> Duration.ofNanos(1000);
       case "ms" -> Duration.ofMillis(1);
@@ -73,8 +77,8 @@
     return unit.multipliedBy(Long.parseLong(matcher.group(1)));
   }
 
-  private static Size size(String text) {
-    Matcher matcher = AMOUNT.matcher(text);
+  private static Size parseSize(String text) {
+    Matcher matcher = QUANTITY.matcher(text);
     long unit = !matcher.matches() ? 0 : switch (matcher.group(2)) {
       case "B" -> 1;
       case "KiB" -> 1L << 10;
@@ -88,7 +92,7 @@
     return new Size(unit * Long.parseLong(matcher.group(1)));
   }
 
-  /** What a value of this type looks like. */
+  /** Describes the syntax of a value of this type, for messages such as "expected a number". */
   public static String expected(Class<?> type) {
     if (type == int.class) {
       return "a whole number";
@@ -107,7 +111,7 @@
         .collect(Collectors.joining(", "));
   }
 
-  /** Writes a value as it is read. */
+  /** Formats a value so that {@link #parse} reads it back; strings and enum constants come without quotes. */
   public static String write(Object value) {
     if (value instanceof Duration duration) {
       long micros = duration.toNanos() / 1000;
@@ -122,17 +126,17 @@
     return value instanceof Enum<?> constant ? constant.name().toLowerCase(Locale.ROOT) : String.valueOf(value);
   }
 
-  /** Whether values of this type are written in quotes. */
+  /** Returns whether TOML requires quotes around values of this type. */
   public static boolean quoted(Class<?> type) {
     return type != int.class && type != double.class && type != boolean.class;
   }
 
-  /** The same with the quotes that TOML wants. */
+  /** Formats a value or a list of values as TOML, with quotes where TOML requires them. */
   public static String toml(Object value) {
     if (value instanceof List<?> list) {
       return list.stream().map(Values::toml).collect(Collectors.joining(", ", "[", "]"));
     }
-    boolean bare = value instanceof Number || value instanceof Boolean;
-    return bare ? write(value) : '"' + write(value) + '"';
+    boolean unquoted = value instanceof Number || value instanceof Boolean;
+    return unquoted ? write(value) : '"' + write(value) + '"';
   }
 }
--- a/proxy/src/main/java/amberhoist/config/schema/Written.java
+++ b/proxy/src/main/java/amberhoist/config/schema/Written.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * A value as a source has it, before it is checked.
+ * A value as read from a source, before validation.
  *
- * @param where the file with its line, the variable or the flag
- * @param text the value's text
- * @param quoted whether it was written as a text; null where the source knows only texts
- * @param items the elements where it is a list of plain values, else null
- * @param plain whether it is a plain value, neither list nor table
+ * @param where origin of the value: a file and line, an environment variable or a flag
+ * @param text the value as text
+ * @param quoted whether the value is a quoted string; null if the source does not distinguish strings from other types
+ * @param items the elements if the value is a list, otherwise null
+ * @param plain whether the value is a scalar, neither a list nor a table
  */
 public record Written(String where, String text, Boolean quoted, List<Written> items, boolean plain) {
-  /** A plain value from a source that knows only texts. */
+  /** Creates a scalar value from a source that does not distinguish strings from other types. */
   public static Written text(String where, String text) {
     return new Written(where, text, null, null, true);
   }
--- a/proxy/src/test/java/amberhoist/config/SetupTest.java
+++ b/proxy/src/test/java/amberhoist/config/SetupTest.java
@@ -18,6 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Tests the merging and validation of the configuration from all sources, and the generated reference pages. */
 class SetupTest {
   private static final String PLATFORM = "{\"name\":\"json\",\"listen\":\"127.0.0.1:1\",\"discovery\":"
       + "\"127.0.0.1:2\",\"limits\":{\"sockets\":300},\"settings\":{}}";
@@ -36,15 +37,15 @@
   }
 
   @Test
-  void allThatIsWrongIsToldAtOnceWithLineAndExpectation() throws IOException {
-    List<String> told = problems("""
+  void allProblemsAreReportedWithLineAndExpectedValue() throws IOException {
+    List<String> problems = problems("""
         [log]
         levl = "info"
         rate = "5"
         level = "loud"
 
         [stop]
-        routed = 5        # a time without its unit
+        routed = 5        # a time without a unit
         hold = "20s"
         [sockets]
         queue = "1B"
@@ -64,12 +65,12 @@
         "bad.toml:13: nothing: unknown key",
         "bad.toml:15: admin.listen: expected \"\", \"unix:/path\" or a loopback address such as"
             + " \"127.0.0.1:9100\", not \"0.0.0.0:9\"",
-        "bad.toml:8: stop.hold: is longer than stop.longest (20s)"), told);
+        "bad.toml:8: stop.hold: is longer than stop.longest (20s)"), problems);
   }
 
   @Test
-  void whatIsNoTomlAndWhatIsNotThereIsToldInOneLine() throws IOException {
-    assertTrue(problems("[log]\nlevel = \"info\"\nrate = = 3\n").get(0).startsWith("bad.toml:3: no TOML: "));
+  void invalidOrMissingFileIsReportedInOneLine() throws IOException {
+    assertTrue(problems("[log]\nlevel = \"info\"\nrate = = 3\n").get(0).startsWith("bad.toml:3: invalid TOML: "));
     assertEquals(1, problems("a = 1\na = 2\n").size());
     assertEquals(List.of("bad.toml:1: log: expected a table of keys"), problems("log = 3\n"));
     assertEquals(List.of("bad.toml:1: log.rate: expected a whole number"), problems("log.rate = [1, 2]\n"));
@@ -78,7 +79,7 @@
   }
 
   @Test
-  void sourcesGoBeforeOneAnotherInTheirOrder() throws Exception {
+  void sourcesOverrideEachOtherInOrder() throws Exception {
     Path platform = file("p.json", PLATFORM);
     Path file = file("o.toml", "instance.name = \"file\"\nlimits.descriptors = 200\nlog.rate = 9\n"
         + "instance.platform = \"" + platform + "\"\n[answers]\nmargin = \"20ms\"\n");
@@ -87,8 +88,8 @@
     Sources sources = new Sources(file, flags, environment);
     Setup setup = Setup.load(sources, new Clock());
     assertEquals("json", setup.config().name());
-    assertEquals(300, setup.config().sockets(), "the platform's JSON goes before the file");
-    assertEquals(9, setup.operator().log().rate(), "the file before the defaults");
+    assertEquals(300, setup.config().sockets(), "the platform's JSON overrides the file");
+    assertEquals(9, setup.operator().log().rate(), "the file overrides the defaults");
     assertEquals(20_000, setup.operator().timing().answerMarginMicros());
     assertEquals(Operator.DEFAULT.log().burst(), setup.operator().log().burst());
     environment.put("LB_NAME", "variable");
@@ -108,7 +109,7 @@
   }
 
   @Test
-  void aReloadHearsTheFilesAndNotTheVariableOfTheDirectory() throws Exception {
+  void reloadTakesTheDirectoryFromTheFile() throws Exception {
     Path platform = file("p.json", PLATFORM);
     Sources sources = new Sources(file("o.toml", ""), Map.of(),
         Map.of("LB_CONFIG", platform.toString(), "LB_DISCOVERY", "127.0.0.1:7"));
@@ -117,7 +118,7 @@
   }
 
   @Test
-  void problemsOfBothFilesAreToldTogether() throws Exception {
+  void problemsOfBothFilesAreReportedTogether() throws Exception {
     Sources sources = new Sources(file("o.toml", "[log]\nrate = 0\nburst = -1\n"), Map.of("nothing", "1"),
         Map.of("LB_CONFIG", file("p.json", "{").toString()));
     BadConfig fault = assertThrows(BadConfig.class, () -> Setup.load(sources, new Clock()));
@@ -125,7 +126,7 @@
   }
 
   @Test
-  void theFileCanStandForThePlatformsVariables() throws Exception {
+  void fileReplacesThePlatformsVariables() throws Exception {
     Path platform = file("p.json", "{\"settings\":{}}");
     Setup setup = Setup.load(new Sources(file("o.toml", "[instance]\nname = \"x\"\nlisten = \"127.0.0.1:5\"\n"
         + "directory = \"127.0.0.1:6\"\nplatform = \"" + platform + "\"\n"), Map.of(), Map.of()), new Clock());
@@ -134,7 +135,7 @@
   }
 
   @Test
-  void keysThatOnlyARestartTakesUpAreNamedAndStay() throws IOException {
+  void keysThatRequireARestartAreReportedAndKept() throws IOException {
     Operator before = Operator.DEFAULT;
     Operator after = Setup.read(new Sources(file("o.toml",
         "[log]\nformat = \"json\"\nrate = 3\n[sockets]\nbacklog = 9\n"), Map.of(), Map.of()), false).operator();
@@ -145,14 +146,15 @@
   }
 
   @Test
-  void pagesAndExampleAreFresh() throws IOException {
+  void referencePagesAndExampleAreUpToDate() throws IOException {
     assertEquals(Reference.page(), Files.readString(Path.of("../docs/configuration.md")));
     assertEquals(Reference.events(), Files.readString(Path.of("../docs/logging.md")));
     Path example = Path.of("../deploy/amberhoist.toml");
     assertEquals(Reference.example(), Files.readString(example));
     Reading reading = Setup.read(new Sources(example, Map.of(), Map.of()), false);
     assertEquals(List.of(), reading.problems());
-    assertEquals(Operator.DEFAULT, reading.operator(), "each at its default");
-    assertEquals(Set.copyOf(Keys.SCHEMA.keys().keySet()), Set.copyOf(reading.origins().keySet()), "and every key");
+    assertEquals(Operator.DEFAULT, reading.operator(), "every key has its default value");
+    assertEquals(Set.copyOf(Keys.SCHEMA.keys().keySet()), Set.copyOf(reading.origins().keySet()),
+        "the example contains every key");
   }
 }
