--- a/proxy/src/main/java/amberhoist/simulator/Codec.java
+++ b/proxy/src/main/java/amberhoist/simulator/Codec.java
@@ -16,15 +16,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads batches, one JSON value a line, and writes one reply line for each. */
+/**
+ * Reads batches of messages from the simulator, one JSON object per line, passes the messages to the balancers and
+ * writes one line per batch with their commands.
+ */
 final class Codec {
   private static final Outcome[] OUTCOMES = Outcome.values();
-  private static final int LISTS = 16;
+  private static final int MAX_LISTS = 16;
 
   private final JsonParser in;
   private final JsonGenerator out;
   private final Session session;
-  private final List<List<Server>> lists = new ArrayList<>();
+  private final List<List<Server>> listsById = new ArrayList<>();
   private final Message message = new Message();
   private long line = 1;
 
@@ -33,34 +36,40 @@
     try {
       in = factory.createParser(new BufferedInputStream(input, 1 << 16));
       out = factory.createGenerator(new BufferedOutputStream(output, 1 << 16));
-    } catch (IOException broken) {
-      throw new IllegalStateException(broken);
+    } catch (IOException fault) {
+      throw new IllegalStateException(fault);
     }
     out.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
     out.setRootValueSeparator(null);
     this.session = session;
-    for (int i = 0; i < LISTS; i++) {
-      lists.add(null);
+    for (int i = 0; i < MAX_LISTS; i++) {
+      listsById.add(null);
     }
   }
 
-  /** The number of the line being read, from 1. */
+  /** Returns the number of the line being read, from 1. */
   long line() {
     return line;
   }
 
-  /** Answers batches until input ends. */
+  /**
+   * Processes batches until the input ends.
+   *
+   * @throws IOException if input is not JSON or a stream fails
+   * @throws IllegalArgumentException if a message is invalid
+   */
   void run() throws IOException {
     for (JsonToken token = in.nextToken(); token != null; token = in.nextToken()) {
-      expect(token == JsonToken.START_OBJECT, "a batch must be an object");
-      batch();
+      require(token == JsonToken.START_OBJECT, "a batch must be an object");
+      readBatch();
       out.writeRaw('\n');
       out.flush();
       line++;
     }
   }
 
-  private void batch() throws IOException {
+  /** Processes one batch; the parser is at its opening brace. */
+  private void readBatch() throws IOException {
     long now = Long.MIN_VALUE;
     out.writeStartObject();
     out.writeArrayFieldStart("proxys");
@@ -68,32 +77,33 @@
       String name = in.currentName();
       in.nextToken();
       if (name.equals("at-time")) {
-        now = whole();
+        now = readLong();
       } else if (name.equals("proxys")) {
-        expect(now != Long.MIN_VALUE, "at-time must come before proxys");
-        expect(in.currentToken() == JsonToken.START_ARRAY, "proxys must be an array");
+        require(now != Long.MIN_VALUE, "at-time must come before proxys");
+        require(in.currentToken() == JsonToken.START_ARRAY, "proxys must be an array");
         while (in.nextToken() == JsonToken.START_OBJECT) {
-          instance(now);
+          readInstance(now);
         }
       } else {
         in.skipChildren();
       }
     }
-    expect(now != Long.MIN_VALUE, "batch without at-time");
+    require(now != Long.MIN_VALUE, "batch without at-time");
     out.writeEndArray();
     out.writeEndObject();
   }
 
-  private void instance(long now) throws IOException {
+  /** Processes the messages of one instance; the parser is at the opening brace of its entry. */
+  private void readInstance(long now) throws IOException {
     Session.Instance instance = null;
     while (in.nextToken() == JsonToken.FIELD_NAME) {
       String name = in.currentName();
       in.nextToken();
       if (name.equals("proxy")) {
-        instance = session.instance((int) whole(), out);
+        instance = session.instance((int) readLong(), out);
       } else if (name.equals("inbox")) {
-        expect(instance != null, "proxy must come before inbox");
-        expect(in.currentToken() == JsonToken.START_ARRAY, "inbox must be an array");
+        require(instance != null, "proxy must come before inbox");
+        require(in.currentToken() == JsonToken.START_ARRAY, "inbox must be an array");
         while (in.nextToken() == JsonToken.START_OBJECT) {
           message.read(in);
           dispatch(now, instance);
@@ -102,20 +112,21 @@
         in.skipChildren();
       }
     }
-    expect(instance != null, "instance without a number");
+    require(instance != null, "entry of proxys without proxy");
     instance.commands.finish();
   }
 
+  /** Processes the current message. An exception from the balancer is reported as a fault and stops the instance. */
   private void dispatch(long now, Session.Instance instance) {
     String name = message.name;
-    expect(name != null, "message without a name");
+    require(name != null, "message without m");
     if (name.equals("Directory")) {
-      expect(message.set >= 0 && message.set < LISTS, "bad set-id " + message.set);
-      lists.set(message.set, message.rows);
+      require(message.set >= 0 && message.set < MAX_LISTS, "invalid set-id " + message.set);
+      listsById.set(message.set, message.rows);
       return;
     }
-    List<Server> list = name.equals("PeersKnown") ? list() : null;
-    Runnable event = event(name, now, instance, list);
+    List<Server> list = name.equals("PeersKnown") ? currentList() : null;
+    Runnable event = toEvent(name, now, instance, list);
     try {
       event.run();
     } catch (RuntimeException fault) {
@@ -124,17 +135,19 @@
     }
   }
 
-  private List<Server> list() {
+  /** Returns the server list that the current message names. */
+  private List<Server> currentList() {
     if (message.mode == ListUpdateKind.FAILED) {
       return List.of();
     }
-    expect(message.mode != null, "PeersKnown without a mode");
-    expect(message.set >= 0 && message.set < LISTS && lists.get(message.set) != null,
+    require(message.mode != null, "PeersKnown without a mode");
+    require(message.set >= 0 && message.set < MAX_LISTS && listsById.get(message.set) != null,
         "PeersKnown names unknown set-id " + message.set);
-    return lists.get(message.set);
+    return listsById.get(message.set);
   }
 
-  private Runnable event(String name, long now, Session.Instance instance, List<Server> list) {
+  /** Returns the call of the balancer for the current message; for an instance that is not running it does nothing. */
+  private Runnable toEvent(String name, long now, Session.Instance instance, List<Server> list) {
     Message m = message;
     Balancer balancer = instance.balancer;
     if (name.equals("PowerOn")) {
@@ -159,24 +172,24 @@
       case "Expired" -> () -> balancer.onClientDisconnected(now, m.ticket);
       case "Wake" -> () -> balancer.onTimer(now, m.token);
       case "Health" -> () -> instance.report(now, m.server, m.report);
-      case "Inbox" -> () -> {}; // no balancer here talks to others
+      case "Inbox" -> () -> {}; // balancers do not communicate with each other
       default -> throw new IllegalArgumentException("unknown message " + name);
     };
     return balancer == null ? () -> {} : event;
   }
 
   private Outcome outcome() {
-    expect(message.code >= 1 && message.code <= OUTCOMES.length, "unknown state-code " + message.code);
+    require(message.code >= 1 && message.code <= OUTCOMES.length, "unknown state-code " + message.code);
     return OUTCOMES[message.code - 1];
   }
 
-  private long whole() throws IOException {
+  private long readLong() throws IOException {
     return in.getValueAsLong();
   }
 
-  private void expect(boolean holds, String fault) {
-    if (!holds) {
-      throw new IllegalArgumentException(fault);
+  private void require(boolean condition, String description) {
+    if (!condition) {
+      throw new IllegalArgumentException(description);
     }
   }
 }
--- a/proxy/src/main/java/amberhoist/simulator/Commands.java
+++ b/proxy/src/main/java/amberhoist/simulator/Commands.java
@@ -5,103 +5,106 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Writes one instance's actions into the reply as they are given. */
+/** Writes the actions of one instance's balancer to the reply as commands, in the order in which they are called. */
 final class Commands implements Balancer.Actions {
   private final JsonGenerator json;
-  private final int instance;
-  private boolean open;
+  private final int instanceNumber;
+  private boolean hasEntry;
 
-  Commands(JsonGenerator json, int instance) {
+  Commands(JsonGenerator json, int instanceNumber) {
     this.json = json;
-    this.instance = instance;
+    this.instanceNumber = instanceNumber;
   }
 
   @Override
-  public void startAttempt(long request, String server, long timeout) {
-    put("Deliver", "ticket", request, "server", server, "within", timeout);
+  public void startAttempt(long requestId, String serverName, long timeoutMicros) {
+    writeCommand("Deliver", "ticket", requestId, "server", serverName, "within", timeoutMicros);
   }
 
   @Override
-  public void reject(long request, long retryAfter) {
-    put("Bounce", "ticket", request, null, null, "not-before-for", retryAfter);
+  public void reject(long requestId, long retryAfterMicros) {
+    writeCommand("Bounce", "ticket", requestId, null, null, "not-before-for", retryAfterMicros);
   }
 
   @Override
-  public void fail(long request) {
-    put("FinishError", "ticket", request, null, null, null, 0);
+  public void fail(long requestId) {
+    writeCommand("FinishError", "ticket", requestId, null, null, null, 0);
   }
 
   @Override
-  public void move(long request) {
-    put("Relocate", "ticket", request, null, null, null, 0);
+  public void move(long requestId) {
+    writeCommand("Relocate", "ticket", requestId, null, null, null, 0);
   }
 
   @Override
   public void subscribe() {
     try {
-      begin("Subscribe");
+      beginCommand("Subscribe");
       json.writeBooleanField("on", true);
       json.writeEndObject();
-    } catch (IOException broken) {
-      throw new UncheckedIOException(broken);
+    } catch (IOException fault) {
+      throw new UncheckedIOException(fault);
     }
   }
 
   @Override
-  public void requestLoadReport(String server) {
-    put("Poll", null, 0, "server", server, null, 0);
+  public void requestLoadReport(String serverName) {
+    writeCommand("Poll", null, 0, "server", serverName, null, 0);
   }
 
   @Override
   public void scheduleTimer(long at, long token) {
-    put("Timer", "instant", at, null, null, "name", token);
+    writeCommand("Timer", "instant", at, null, null, "name", token);
   }
 
   @Override
   public void log(String message) {
-    put("Print", null, 0, "message", message, null, 0);
+    writeCommand("Print", null, 0, "message", message, null, 0);
   }
 
+  /** Reports an exception thrown by the balancer. */
   void fault(String message) {
-    put("Fault", null, 0, "message", message, null, 0);
+    writeCommand("Fault", null, 0, "message", message, null, 0);
   }
 
-  /** Ends this instance's part of the reply. */
+  /** Ends the instance's entry in the reply, if it has one. */
   void finish() throws IOException {
-    if (open) {
+    if (hasEntry) {
       json.writeEndArray();
       json.writeEndObject();
-      open = false;
+      hasEntry = false;
     }
   }
 
-  private void begin(String name) throws IOException {
-    if (!open) {
+  /** Begins a command, and the instance's entry with its first command. */
+  private void beginCommand(String name) throws IOException {
+    if (!hasEntry) {
       json.writeStartObject();
-      json.writeNumberField("proxy", instance);
+      json.writeNumberField("proxy", instanceNumber);
       json.writeArrayFieldStart("cmds");
-      open = true;
+      hasEntry = true;
     }
     json.writeStartObject();
     json.writeStringField("m", name);
   }
 
-  private void put(
-      String name, String first, long number, String second, String text, String third, long last) {
+  /** Writes a command with up to three fields in this order; a field whose name is null is left out. */
+  private void writeCommand(
+      String name, String field1, long value1, String field2, String value2, String field3, long value3) {
     try {
-      begin(name);
-      if (first != null) {
-        json.writeNumberField(first, number);
+      beginCommand(name);
+      if (field1 != null) {
+        json.writeNumberField(field1, value1);
       }
-      if (second != null) {
-        json.writeStringField(second, text);
+      if (field2 != null) {
+        json.writeStringField(field2, value2);
       }
-      if (third != null) {
-        json.writeNumberField(third, last);
+      if (field3 != null) {
+        json.writeNumberField(field3, value3);
       }
       json.writeEndObject();
-    } catch (IOException broken) {
-      throw new UncheckedIOException(broken);
+    } catch (IOException fault) {
+      throw new UncheckedIOException(fault);
     }
   }
 }
--- a/proxy/src/main/java/amberhoist/simulator/Main.java
+++ b/proxy/src/main/java/amberhoist/simulator/Main.java
@@ -5,7 +5,7 @@
 import java.io.OutputStream;
 import java.io.PrintStream;
 
-/** The command line: {@code drill} speaks the wire on standard input and output. */
+/** The command {@code drill}: runs balancers for a simulator that is connected to standard input and output. */
 public final class Main {
   private static final String USAGE = "usage: java -jar amberhoist.jar drill";
 
@@ -16,7 +16,11 @@
     System.exit(run(args, System.in, System.out, System.err));
   }
 
-  /** The same on these streams; returns the exit status. */
+  /**
+   * Runs the adapter on the given streams until the input ends.
+   *
+   * @return the exit status: 0 at the end of input, 1 for invalid input, 2 for a usage error
+   */
   public static int run(String[] args, InputStream in, OutputStream out, PrintStream err) {
     if (args.length != 1 || !args[0].equals("drill")) {
       err.println(args.length == 0 ? "no command given" : "unknown command: " + String.join(" ", args));
@@ -33,6 +37,7 @@
     }
   }
 
+  /** Returns the first line of the exception's message. */
   private static String describe(Exception fault) {
     String text = String.valueOf(fault.getMessage());
     int end = text.indexOf('\n');
--- a/proxy/src/main/java/amberhoist/simulator/Message.java
+++ b/proxy/src/main/java/amberhoist/simulator/Message.java
@@ -11,7 +11,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One message of the wire, read in place: the object is reused for the next one. */
+/**
+ * One message from the simulator. The object is reused: each {@link #read} replaces all fields. A field that the
+ * message does not contain is null, 0 or false; a list id or the index of the reported field is then -1.
+ */
 final class Message {
   String name;
   long ticket;
@@ -30,20 +33,25 @@
   Settings settings;
   int reportField;
   final List<Double> report = new ArrayList<>();
-  private String type;
+  private String className;
   private String tenant;
-  private String client;
-  private String group;
+  private String clientKey;
+  private String groupName;
   private long deadline;
-  private double hint;
-  private boolean retry;
-  private boolean returned;
+  private double loadHint;
+  private boolean isRetry;
+  private boolean isReturning;
 
+  /** Returns the request that the fields describe. */
   Request request() {
-    return new Request(ticket, type, tenant, client, deadline, hint, group, retry, returned);
+    return new Request(ticket, className, tenant, clientKey, deadline, loadHint, groupName, isRetry, isReturning);
   }
 
-  /** Reads the object whose opening brace is the parser's current token. */
+  /**
+   * Reads the JSON object whose opening brace is the parser's current token. Unknown fields are ignored.
+   *
+   * @throws IllegalArgumentException if a value is invalid or settings are missing where they are required
+   */
   void read(JsonParser in) throws IOException {
     clear();
     while (in.nextToken() == JsonToken.FIELD_NAME) {
@@ -53,7 +61,7 @@
         case "m" -> name = in.getText();
         case "ticket" -> ticket = in.getValueAsLong();
         case "send-no" -> sendNo = in.getValueAsInt();
-        case "server" -> server = text(in);
+        case "server" -> server = nullableText(in);
         case "state-code" -> code = in.getValueAsInt();
         case "lag" -> lag = in.getValueAsLong();
         case "last" -> last = in.getValueAsBoolean();
@@ -61,8 +69,8 @@
         case "level" -> level = in.getValueAsDouble();
         case "name" -> token = in.getValueAsLong();
         case "set-id" -> set = in.getValueAsInt();
-        case "mode" -> mode = kind(in.getText());
-        case "rows" -> rows = rows(in);
+        case "mode" -> mode = parseKind(in.getText());
+        case "rows" -> rows = readServers(in);
         case "init-seed" -> seed = in.getValueAsLong();
         case "settings" -> {
           SettingsReader reader = SettingsReader.of(in);
@@ -74,14 +82,14 @@
             report.add(in.getValueAsDouble());
           }
         }
-        case "tier-class" -> type = text(in);
-        case "account" -> tenant = text(in);
-        case "affinity" -> client = text(in);
-        case "group" -> group = text(in);
+        case "tier-class" -> className = nullableText(in);
+        case "account" -> tenant = nullableText(in);
+        case "affinity" -> clientKey = nullableText(in);
+        case "group" -> groupName = nullableText(in);
         case "client-deadline" -> deadline = in.getValueAsLong();
-        case "weight-hint" -> hint = in.getValueAsDouble();
-        case "is-retry" -> retry = in.getValueAsBoolean();
-        case "returned" -> returned = in.getValueAsBoolean();
+        case "weight-hint" -> loadHint = in.getValueAsDouble();
+        case "is-retry" -> isRetry = in.getValueAsBoolean();
+        case "returned" -> isReturning = in.getValueAsBoolean();
         default -> in.skipChildren();
       }
     }
@@ -91,12 +99,12 @@
   }
 
   private void clear() {
-    name = server = type = tenant = client = group = null;
+    name = server = className = tenant = clientKey = groupName = null;
     ticket = lag = token = seed = deadline = 0;
     sendNo = code = sort = 0;
     set = -1;
-    level = hint = 0;
-    last = retry = returned = false;
+    level = loadHint = 0;
+    last = isRetry = isReturning = false;
     mode = null;
     rows = null;
     settings = null;
@@ -104,11 +112,11 @@
     report.clear();
   }
 
-  private static String text(JsonParser in) throws IOException {
+  private static String nullableText(JsonParser in) throws IOException {
     return in.currentToken() == JsonToken.VALUE_NULL ? null : in.getText();
   }
 
-  private static ListUpdateKind kind(String letter) {
+  private static ListUpdateKind parseKind(String letter) {
     return switch (letter) {
       case "D" -> ListUpdateKind.CHANGES;
       case "F" -> ListUpdateKind.FULL;
@@ -118,43 +126,43 @@
     };
   }
 
-  private static List<Server> rows(JsonParser in) throws IOException {
-    List<Server> rows = new ArrayList<>();
+  private static List<Server> readServers(JsonParser in) throws IOException {
+    List<Server> servers = new ArrayList<>();
     while (in.nextToken() == JsonToken.START_OBJECT) {
-      rows.add(row(in));
+      servers.add(readServer(in));
     }
-    return rows;
+    return servers;
   }
 
-  private static Server row(JsonParser in) throws IOException {
+  private static Server readServer(JsonParser in) throws IOException {
     String name = null;
     String zone = null;
-    String kind = null;
+    String machineType = null;
     int cell = 0;
     ServerState state = ServerState.READY;
-    double size = 0;
-    long since = 0;
+    double relativeCapacity = 0;
+    long startedAt = 0;
     while (in.nextToken() == JsonToken.FIELD_NAME) {
       String field = in.currentName();
       in.nextToken();
       switch (field) {
-        case "server" -> name = text(in);
-        case "rack-zone" -> zone = text(in);
-        case "generation-hw" -> kind = text(in);
+        case "server" -> name = nullableText(in);
+        case "rack-zone" -> zone = nullableText(in);
+        case "generation-hw" -> machineType = nullableText(in);
         case "bay" -> cell = in.getValueAsInt();
-        case "health" -> state = state(in.getText());
-        case "size" -> size = in.getValueAsDouble();
-        case "since" -> since = in.getValueAsLong();
+        case "health" -> state = parseState(in.getText());
+        case "size" -> relativeCapacity = in.getValueAsDouble();
+        case "since" -> startedAt = in.getValueAsLong();
         default -> in.skipChildren();
       }
     }
     if (name == null) {
-      throw new IllegalArgumentException("list row without a server");
+      throw new IllegalArgumentException("entry of rows without server");
     }
-    return new Server(name, zone, kind, cell, state, size, since);
+    return new Server(name, zone, machineType, cell, state, relativeCapacity, startedAt);
   }
 
-  private static ServerState state(String word) {
+  private static ServerState parseState(String word) {
     return switch (word) {
       case "active" -> ServerState.READY;
       case "leaving" -> ServerState.DRAINING;
--- a/proxy/src/main/java/amberhoist/simulator/Session.java
+++ b/proxy/src/main/java/amberhoist/simulator/Session.java
@@ -7,9 +7,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Hosts one balancer for each instance number; the instances share nothing. */
+/** The instances of the decision module that a simulator drives, by number. Instances share no state. */
 final class Session {
-  /** One instance: its balancer while it runs, and the commands it gave in this batch. */
+  /**
+   * One instance. Its balancer is null unless the instance is running; its commands are those of the current batch.
+   */
   static final class Instance {
     final Commands commands;
     Balancer balancer;
@@ -19,13 +21,13 @@
       this.commands = commands;
     }
 
-    void start(long now, Balancer.Settings settings, int itsReportField, long seed) {
-      reportField = itsReportField;
+    void start(long now, Balancer.Settings settings, int newReportField, long seed) {
+      reportField = newReportField;
       balancer = new Policy();
       balancer.start(now, settings, seed, commands);
     }
 
-    /** What a probe brought; without a report it is as if it had not been asked. */
+    /** Passes the utilization in a load report to the balancer; a report without it is ignored. */
     void report(long now, String server, List<Double> fields) {
       if (reportField >= 0 && reportField < fields.size()) {
         balancer.onLoadReport(now, server, fields.get(reportField));
@@ -37,10 +39,10 @@
     }
   }
 
-  private final Map<Integer, Instance> instances = new LinkedHashMap<>();
+  private final Map<Integer, Instance> instancesByNumber = new LinkedHashMap<>();
 
-  /** The instance of this number; one seen for the first time writes its commands to {@code out}. */
+  /** Returns the instance with this number. If there is none, creates one that writes its commands to {@code out}. */
   Instance instance(int number, JsonGenerator out) {
-    return instances.computeIfAbsent(number, n -> new Instance(new Commands(out, n)));
+    return instancesByNumber.computeIfAbsent(number, n -> new Instance(new Commands(out, n)));
   }
 }
--- a/proxy/src/main/java/amberhoist/simulator/SettingsReader.java
+++ b/proxy/src/main/java/amberhoist/simulator/SettingsReader.java
@@ -17,17 +17,21 @@
 import java.util.Set;
 
 /**
- * Reads the settings object of a start into {@link Settings}. Unknown keys are skipped; an absent key takes
- * the default given beside it here, each on the careful side.
+ * Reads the JSON object with the platform's settings into {@link Settings}. Unknown keys are ignored. A missing key has
+ * the default given here, which is a conservative value.
  */
 public final class SettingsReader {
-  private static final String HEAT = "x0";
+  private static final String UTILIZATION_FIELD = "x0";
 
-  private final Map<String, String> flat = new LinkedHashMap<>();
+  private final Map<String, String> values = new LinkedHashMap<>();
 
   private SettingsReader() {}
 
-  /** Reads the object whose opening brace is the parser's current token. */
+  /**
+   * Reads the JSON object whose opening brace is the parser's current token.
+   *
+   * @throws IllegalArgumentException if the current token is not an opening brace
+   */
   public static SettingsReader of(JsonParser in) throws IOException {
     if (in.currentToken() != JsonToken.START_OBJECT) {
       throw new IllegalArgumentException("settings must be an object");
@@ -37,37 +41,41 @@
     return reader;
   }
 
-  /** Keeps every plain value under its path, as in {@code lanes.0.aim}. */
+  /** Stores each scalar under its path, such as {@code lanes.0.aim}, and an empty text for each object and array. */
   private void flatten(JsonParser in, String path) throws IOException {
-    boolean array = in.currentToken() == JsonToken.START_ARRAY;
+    boolean isArray = in.currentToken() == JsonToken.START_ARRAY;
     int index = 0;
-    for (JsonToken t = in.nextToken(); !t.isStructEnd(); t = in.nextToken()) {
-      String name = array ? Integer.toString(index++) : in.currentName();
-      if (!array) {
-        t = in.nextToken();
+    for (JsonToken token = in.nextToken(); !token.isStructEnd(); token = in.nextToken()) {
+      String name = isArray ? Integer.toString(index++) : in.currentName();
+      if (!isArray) {
+        token = in.nextToken();
       }
-      String here = path.isEmpty() ? name : path + '.' + name;
-      if (t.isStructStart()) {
-        flat.put(here, "");
-        flatten(in, here);
+      String childPath = path.isEmpty() ? name : path + '.' + name;
+      if (token.isStructStart()) {
+        values.put(childPath, "");
+        flatten(in, childPath);
       } else {
-        flat.put(here, in.getText());
+        values.put(childPath, in.getText());
       }
     }
   }
 
-  /** The settings as the balancer takes them. */
+  /**
+   * Returns the settings of the balancer.
+   *
+   * @throws IllegalArgumentException if a value is not a number or out of range
+   */
   public Settings settings() {
     List<RequestClass> classes = new ArrayList<>();
-    for (int i = 0; flat.containsKey("lanes." + i); i++) {
+    for (int i = 0; values.containsKey("lanes." + i); i++) {
       classes.add(requestClass("lanes." + i + '.', number("family-info.message-aim." + i, 0)));
     }
     return new Settings(
-        flat.getOrDefault("zone", ""),
+        values.getOrDefault("zone", ""),
         (int) number("slot-no", 0),
         Math.max(1, (int) number("balancers", 1)),
         List.copyOf(classes),
-        "subscribe".equals(flat.get("discovery")),
+        "subscribe".equals(values.get("discovery")),
         whole("rules.ask-within", 10_000_000),
         (int) number("limits.max-attempts", 1),
         flag("limits.retry-after") ? whole("limits.max-retry-after", 0) : 0,
@@ -77,77 +85,83 @@
         whole("rules.cold", 30_000_000),
         number("rules.overload-factor", 1),
         whole("rules.fall", 1_000_000),
-        value(),
+        connectionValue(),
         reportField() >= 0);
   }
 
   /**
-   * Where a load report says what is asked of a server over what it can do, among its fields from 0; -1 where servers
-   * may not be asked, or do not say that.
+   * Returns the index, from 0, of the field of a load report that contains the utilization (demand over capacity).
+   * Returns -1 if servers cannot be asked for load reports or do not report the utilization.
    */
   int reportField() {
     if (!flag("limits.probing")) {
       return -1;
     }
     int field = 0;
-    while (flat.containsKey("reporting.fields." + field) && !HEAT.equals(flat.get("reporting.fields." + field))) {
+    while (values.containsKey("reporting.fields." + field)
+        && !UTILIZATION_FIELD.equals(values.get("reporting.fields." + field))) {
       field++;
     }
-    return flat.containsKey("reporting.fields." + field) ? field : -1;
+    return values.containsKey("reporting.fields." + field) ? field : -1;
   }
 
-  private ConnectionValue value() {
+  private ConnectionValue connectionValue() {
     Map<String, Double> shares = new HashMap<>();
-    for (int i = 0; flat.containsKey("family-info.tenant-quota-connections." + i); i++) {
-      shares.put(flat.getOrDefault("tenants." + i + ".name", ""),
+    for (int i = 0; values.containsKey("family-info.tenant-quota-connections." + i); i++) {
+      shares.put(values.getOrDefault("tenants." + i + ".name", ""),
           number("family-info.tenant-quota-connections." + i, 0));
     }
-    return new ConnectionValue("work".equals(flat.get("worth-by")), number("over-share-worth", 1), shares);
+    return new ConnectionValue("work".equals(values.get("worth-by")), number("over-share-worth", 1), shares);
   }
 
-  private RequestClass requestClass(String at, double messageAim) {
-    Effect effect = switch (flat.getOrDefault(at + "effect", "side_effect")) {
+  private RequestClass requestClass(String prefix, double messageTargetMicros) {
+    Effect effect = switch (values.getOrDefault(prefix + "effect", "side_effect")) {
       case "pure" -> Effect.IDEMPOTENT;
       case "token" -> Effect.DEDUPLICATED;
       default -> Effect.NON_IDEMPOTENT;
     };
-    DedupScope scope = switch (flat.getOrDefault(at + "key-scope", "cell")) {
+    DedupScope scope = switch (values.getOrDefault(prefix + "key-scope", "cell")) {
       case "all" -> DedupScope.ALL;
       case "zone" -> DedupScope.ZONE;
       default -> DedupScope.CELL;
     };
     return new RequestClass(
-        flat.getOrDefault(at + "name", ""),
+        values.getOrDefault(prefix + "name", ""),
         effect,
         scope,
-        whole(at + "aim", 300_000),
-        whole(at + "window", 0),
-        number(at + "gain", 1),
-        messageAim);
+        whole(prefix + "aim", 300_000),
+        whole(prefix + "window", 0),
+        number(prefix + "gain", 1),
+        messageTargetMicros);
   }
 
   private boolean flag(String key) {
-    return "true".equals(flat.get(key));
+    return "true".equals(values.get(key));
   }
 
-  /** The whole number at a path such as {@code limits.dial-timeout}, or the default. */
-  public long whole(String key, long otherwise) {
-    return Math.round(number(key, otherwise));
+  /**
+   * Returns the number at a path such as {@code limits.dial-timeout}, rounded to a whole number, or the default if the
+   * key is missing.
+   *
+   * @throws IllegalArgumentException if the value is not a number
+   */
+  public long whole(String key, long defaultValue) {
+    return Math.round(number(key, defaultValue));
   }
 
-  /** The names of the entries of a list of objects, such as {@code tenants}. */
+  /** Returns the names of the entries in an array of objects, such as {@code tenants}. */
   public Set<String> names(String list) {
     Set<String> names = new HashSet<>();
-    for (int i = 0; flat.containsKey(list + '.' + i); i++) {
-      names.add(flat.getOrDefault(list + '.' + i + ".name", ""));
+    for (int i = 0; values.containsKey(list + '.' + i); i++) {
+      names.add(values.getOrDefault(list + '.' + i + ".name", ""));
     }
     return Set.copyOf(names);
   }
 
-  private double number(String key, double otherwise) {
-    String text = flat.get(key);
+  private double number(String key, double defaultValue) {
+    String text = values.get(key);
     if (text == null || text.equals("null")) {
-      return otherwise;
+      return defaultValue;
     }
     try {
       return Double.parseDouble(text);
