--- a/proxy/src/main/java/amberhoist/config/Reference.java
+++ b/proxy/src/main/java/amberhoist/config/Reference.java
@@ -63,10 +63,10 @@
   }
 
   /** Formats the effective values of the operator's keys, one per line, each with its origin. */
-  public static String show(Setup.Reading reading) {
+  public static String show(Setup.Reading result) {
     StringBuilder out = new StringBuilder();
-    Keys.SCHEMA.values(reading.operator()).forEach((path, value) -> out.append(String.format(
-        "%-26s = %-24s # %s%n", path, Values.toml(value), reading.origins().getOrDefault(path, "default"))));
+    Keys.SCHEMA.values(result.operator()).forEach((path, value) -> out.append(String.format(
+        "%-26s = %-24s # %s%n", path, Values.toml(value), result.origins().getOrDefault(path, "default"))));
     return out.toString();
   }
 
--- a/proxy/src/main/java/amberhoist/config/Setup.java
+++ b/proxy/src/main/java/amberhoist/config/Setup.java
@@ -82,18 +82,18 @@
       Config config = reload ? Config.reload(environment, clock) : Config.load(environment, clock);
       return new Setup(config, Operator.DEFAULT, Map.of());
     }
-    Reading reading = read(sources, reload);
-    Operator operator = reading.operator();
+    Reading result = read(sources, reload);
+    Operator operator = result.operator();
     Config config = null;
     try {
       config = Config.load(effectiveEnvironment(sources.environment(), operator), clock);
     } catch (BadConfig fault) {
-      reading.problems().add(new Problem("platform", "", fault.getMessage()));
+      result.problems().add(new Problem("platform", "", fault.getMessage()));
     }
-    if (!reading.problems().isEmpty()) {
-      throw new BadConfig(reading.problems());
+    if (!result.problems().isEmpty()) {
+      throw new BadConfig(result.problems());
     }
-    return new Setup(config.withSockets(operator.limits().descriptors()), operator, reading.origins());
+    return new Setup(config.withSockets(operator.limits().descriptors()), operator, result.origins());
   }
 
   /** Returns the environment with the platform's variables set to the effective values of the operator's keys. */
@@ -159,8 +159,8 @@
     return new Reading(operator, origins, problems);
   }
 
-  private static Object check(String path, Written written) {
-    Object value = Keys.SCHEMA.check(path, written);
+  private static Object check(String path, Written rawValue) {
+    Object value = Keys.SCHEMA.check(path, rawValue);
     if (path.equals("admin.listen")) {
       AdminAddress.parse((String) value);
     }
--- a/proxy/src/main/java/amberhoist/config/schema/Schema.java
+++ b/proxy/src/main/java/amberhoist/config/schema/Schema.java
@@ -140,7 +140,7 @@
    *
    * @throws IllegalArgumentException if the key is unknown or the value invalid; the message says what was expected
    */
-  public Object check(String path, Written written) {
+  public Object check(String path, Written rawValue) {
     Key key = key(path);
     if (key == null) {
       if (table(path)) {
@@ -150,27 +150,27 @@
       throw new IllegalArgumentException("unknown key" + (similar == null ? "" : "; the nearest known is " + similar));
     }
     if (!key.list()) {
-      return parseScalar(key, written);
+      return parseScalar(key, rawValue);
     }
-    if (written.items() == null) {
+    if (rawValue.items() == null) {
       throw new IllegalArgumentException("expected a list, each " + Values.expected(key.type()));
     }
     List<Object> items = new ArrayList<>();
-    for (Written item : written.items()) {
+    for (Written item : rawValue.items()) {
       items.add(parseScalar(key, item));
     }
     return List.copyOf(items);
   }
 
-  private static Object parseScalar(Key key, Written written) {
-    if (!written.plain() || written.quoted() != null && written.quoted() != Values.quoted(key.type())) {
+  private static Object parseScalar(Key key, Written rawValue) {
+    if (!rawValue.plain() || rawValue.quoted() != null && rawValue.quoted() != Values.quoted(key.type())) {
       throw new IllegalArgumentException("expected " + Values.expected(key.type()));
     }
     Object value;
     try {
-      value = Values.parse(key.type(), written.text());
+      value = Values.parse(key.type(), rawValue.text());
     } catch (IllegalArgumentException fault) {
-      throw new IllegalArgumentException("expected " + fault.getMessage() + ", not \"" + written.text() + '"', fault);
+      throw new IllegalArgumentException("expected " + fault.getMessage() + ", not \"" + rawValue.text() + '"', fault);
     }
     String min = key.setting().min();
     String max = key.setting().max();
--- a/proxy/src/main/java/amberhoist/config/schema/TomlSource.java
+++ b/proxy/src/main/java/amberhoist/config/schema/TomlSource.java
@@ -39,9 +39,9 @@
   public static Map<String, Written> read(Schema<?> schema, Path file, List<Problem> problems) {
     try {
       String text = Files.readString(file);
-      TomlSource source = new TomlSource(schema, file.toString(), findLines(text));
-      source.flatten("", new TomlMapper().readTree(text));
-      return source.values;
+      TomlSource reader = new TomlSource(schema, file.toString(), findLines(text));
+      reader.flatten("", new TomlMapper().readTree(text));
+      return reader.values;
     } catch (JsonProcessingException fault) {
       int line = fault.getLocation() == null ? 1 : Math.max(1, fault.getLocation().getLineNr());
       problems.add(new Problem(file + ":" + line, "", "invalid TOML: " + fault.getOriginalMessage()));
@@ -109,18 +109,18 @@
         flatten(path + '.' + i, node.get(i));
       }
     } else {
-      values.put(path, toWritten(locate(path), node));
+      values.put(path, toRawValue(locate(path), node));
     }
   }
 
-  private static Written toWritten(String where, JsonNode node) {
+  private static Written toRawValue(String origin, JsonNode node) {
     List<Written> items = null;
     if (node.isArray()) {
       items = new ArrayList<>();
       for (JsonNode item : node) {
-        items.add(toWritten(where, item));
+        items.add(toRawValue(origin, item));
       }
     }
-    return new Written(where, node.asText(), node.isTextual(), items, node.isValueNode());
+    return new Written(origin, node.asText(), node.isTextual(), items, node.isValueNode());
   }
 }
--- a/proxy/src/main/java/amberhoist/config/schema/Written.java
+++ b/proxy/src/main/java/amberhoist/config/schema/Written.java
@@ -13,7 +13,7 @@
  */
 public record Written(String where, String text, Boolean quoted, List<Written> items, boolean plain) {
   /** Creates a scalar value from a source that does not distinguish strings from other types. */
-  public static Written text(String where, String text) {
-    return new Written(where, text, null, null, true);
+  public static Written text(String origin, String text) {
+    return new Written(origin, text, null, null, true);
   }
 }
