--- a/lab/src/main/java/amberhoist/lab/emulator/Chance.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/Chance.java
@@ -4,43 +4,44 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Random numbers from the JDK's generator, and the few distributions that the world needs. All of it is exact on any
- * machine: logarithms and the like come from {@link StrictMath}, where {@link Math} may differ in the last digit.
+ * A reproducible source of random numbers, with the distributions that simulations need. Results are the same on every
+ * machine: transcendental functions come from {@link StrictMath}, since those of {@link Math} may differ in the last
+ * digit.
  */
 public final class Chance {
   private final RandomGenerator random;
 
-  /** A stream of numbers for one purpose under one seed. */
+  /** Creates a stream of numbers for one purpose; streams of the same seed are independent of each other. */
   public Chance(long seed, long purpose) {
     random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed * 0x9E3779B97F4A7C15L + purpose);
   }
 
-  /** From 0 to below 1. */
+  /** Uniform from 0 (inclusive) to 1 (exclusive). */
   public double part() {
     return random.nextDouble();
   }
 
-  /** From 0 to below this. */
+  /** Uniform from 0 (inclusive) to {@code bound} (exclusive). */
   public int below(int bound) {
     return random.nextInt(bound);
   }
 
-  /** Whether something of this probability happens. */
+  /** True with this probability. Draws no number if it is 0. */
   public boolean happens(double probability) {
     return probability > 0 && random.nextDouble() < probability;
   }
 
-  /** From this to that. */
+  /** Uniform between two values; the first if the second is not above it, without drawing a number. */
   public long between(long least, long most) {
     return least >= most ? least : least + (long) (random.nextDouble() * (most - least));
   }
 
-  /** Exponential with this mean. */
+  /** Exponentially distributed with this mean. */
   public double exponential(double mean) {
     return -mean * StrictMath.log1p(-random.nextDouble());
   }
 
-  /** Log-normal with mean 1. */
+  /** Log-normally distributed with mean 1; {@code sigma} of the underlying normal distribution. */
   public double logNormal(double sigma) {
     if (sigma == 0) {
       return 1;
@@ -50,7 +51,7 @@
     return StrictMath.exp(sigma * gaussian - sigma * sigma / 2);
   }
 
-  /** An index, each as likely as its weight. */
+  /** An index, with probability proportional to its weight. */
   public int pick(double[] weights) {
     double sum = 0;
     for (double weight : weights) {
@@ -66,7 +67,7 @@
     return weights.length - 1;
   }
 
-  /** A number of 64 bits, to seed others with. */
+  /** Uniform 64 bits, such as a seed for another source. */
   public long bits() {
     return random.nextLong();
   }
--- a/lab/src/main/java/amberhoist/lab/emulator/Checker.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/Checker.java
@@ -9,27 +9,47 @@
 import java.util.Map;
 
 /**
- * Sees all that passes between clients, proxies and providers, and knows only the protocol's rules: one final answer
- * and in time; never two attempts out; nothing new to a draining provider 500 ms after the news; no cold provider
- * sent over its budget; clients of a silent provider moved within 7 s; one side's end ends the other; nobody cut off
- * without {@code MOVE}.
+ * Observes everything that passes between clients, proxies and providers, and checks it against the rules of the
+ * protocol, without knowledge of the implementation:
+ *
+ * <ul>
+ *   <li>each client gets one final answer, by its deadline;
+ *   <li>an invocation has at most one attempt in flight;
+ *   <li>no attempt goes to a draining provider later than 500 ms after the update that announced the drain;
+ *   <li>a cold provider does not get more attempts than its budget;
+ *   <li>clients of a silent provider are moved within 7 s;
+ *   <li>the end of a provider's connection ends the client's within 1 s;
+ *   <li>a proxy does not cut off an established client without {@code MOVE}.
+ * </ul>
  */
 public final class Checker {
   static final int UP = 1;
   static final int REJECTED = 2;
   static final int FAILED = 3;
   private static final int SENT = 4;
-  private static final int MOST_KEPT = 20;
-  private static final long SLACK = 50_000; // by which a time limit on sockets may be passed
-  private static final long DRAIN_GRACE = 500_000;
-  private static final long SILENCE = 7_000_000;
-  private static final long END = 1_000_000;
-  /** Beyond a cold provider's budget of N calls so many times the root of N, and so many more, are no fault: proxies
-   * share nothing, so what all of them send within their parts bunches by chance, and a day has hundreds of windows. */
-  private static final double CHANCE = 2;
-  private static final double TOLD_PART = 2 / 3.0; // of what pushes a cold provider over: then proxies are at fault
-
-  /** A rule that was broken. */
+  private static final int MAX_KEPT_VIOLATIONS = 20;
+  private static final long TOLERANCE_MICROS = 50_000; // beyond each time limit
+  private static final long DRAIN_GRACE_MICROS = 500_000;
+  private static final long MAX_SILENCE_MICROS = 7_000_000;
+  private static final long MAX_END_DELAY_MICROS = 1_000_000;
+  /**
+   * Tolerance on a cold provider's budget of N attempts: this many times the square root of N, plus this many. Proxies
+   * share no state, so attempts of all of them within their parts of the budget coincide at random, and a run has
+   * hundreds of windows in which that can occur.
+   */
+  private static final double BUDGET_DEVIATIONS = 2;
+  /**
+   * Exceeding a cold provider's budget is a violation only if at least this fraction of the attempts came from proxies
+   * that knew of its start.
+   */
+  private static final double MIN_INFORMED_FRACTION = 2 / 3.0;
+
+  /**
+   * A broken rule.
+   *
+   * @param atMicros since the start of the run
+   * @param who the client, proxy or provider concerned
+   */
   public record Violation(long atMicros, String rule, String who) {
     @Override
     public String toString() {
@@ -37,151 +57,156 @@
     }
   }
 
-  private final World world;
-  private final Map<String, News> news = new HashMap<>(); // by proxy and provider
-  private final Map<String, ArrayDeque<Arrival>> coldArrivals = new HashMap<>();
-  private final List<Violation> kept = new ArrayList<>();
+  private final World simulation;
+  private final Map<String, ProviderKnowledge> knowledge = new HashMap<>(); // by "proxy/provider"
+  private final Map<String, ArrayDeque<ColdAttempt>> coldAttempts = new HashMap<>();
+  private final List<Violation> firstViolations = new ArrayList<>();
   private long count;
 
-  Checker(World world) {
-    this.world = world;
+  Checker(World simulation) {
+    this.simulation = simulation;
   }
 
-  /** How many rules were broken. */
+  /** The number of violations. */
   public long count() {
     return count;
   }
 
-  /** The first of them. */
+  /** The first violations, at most 20, in order of time. */
   public List<Violation> violations() {
-    return kept;
+    return firstViolations;
   }
 
-  private void broken(String rule, String who) {
+  private void report(String rule, String subject) {
     count++;
-    if (kept.size() < MOST_KEPT) {
-      kept.add(new Violation(world.time.now() - World.START, rule, who));
+    if (firstViolations.size() < MAX_KEPT_VIOLATIONS) {
+      firstViolations.add(new Violation(simulation.time.now() - World.START, rule, subject));
     }
   }
 
-  private static String who(Visit visit) {
+  private static String describe(Visit visit) {
     return "client " + visit.client.arrival().key() + " at proxy " + visit.proxy.index;
   }
 
-  /** A first line at a cold provider, from a proxy that knew of its start or not. */
-  private record Arrival(long at, boolean told) {
+  /** An open request received by a cold provider; {@code startKnown} if its proxy knew of the provider's start. */
+  private record ColdAttempt(long receivedAt, boolean startKnown) {
   }
 
-  /** What a proxy was told of a provider last: its latest start, and since when nothing new is to go there (or 0). */
-  private record News(long start, long drainTold) {
+  /** What a proxy knows of a provider: its latest start, and since when it is not ready, 0 if it is ready. */
+  private record ProviderKnowledge(long startedAt, long drainingSince) {
   }
 
-  /** A proxy begins a life with this list; what an earlier life was told counts no more. */
+  /** A proxy has started with this list; what it knew before a restart is discarded. */
   void starts(EmulatedProxy proxy, List<Server> known) {
-    news.keySet().removeIf(pair -> pair.startsWith(proxy.index + "/"));
+    knowledge.keySet().removeIf(pair -> pair.startsWith(proxy.index + "/"));
     known.forEach(server -> told(proxy, server));
   }
 
-  /** A proxy is told of a provider. News may overtake one another: what is told of an earlier start counts no more. */
+  /** A proxy receives a directory update. Updates may be reordered: one from before the latest start is ignored. */
   void told(EmulatedProxy proxy, Server server) {
-    news.merge(proxy.index + "/" + server.name(), new News(server.startedAt(),
-        server.state() == ServerState.READY ? 0 : world.time.now()), (old, told) -> told.start() < old.start() ? old
-            : told.drainTold() > 0 && old.drainTold() > 0 ? new News(told.start(), old.drainTold()) : told);
+    knowledge.merge(proxy.index + "/" + server.name(), new ProviderKnowledge(server.startedAt(),
+        server.state() == ServerState.READY ? 0 : simulation.time.now()),
+        (previous, update) -> update.startedAt() < previous.startedAt() ? previous
+            : update.drainingSince() > 0 && previous.drainingSince() > 0
+                ? new ProviderKnowledge(update.startedAt(), previous.drainingSince()) : update);
   }
 
-  private News newsOf(Attempt attempt) {
-    return news.getOrDefault(attempt.proxy.index + "/" + attempt.provider.name, new News(0, 0));
+  private ProviderKnowledge knowledgeOf(Attempt attempt) {
+    return knowledge.getOrDefault(attempt.proxy.index + "/" + attempt.provider.name, new ProviderKnowledge(0, 0));
   }
 
-  /** A proxy sends a first line on. */
+  /** A proxy sends an attempt's open request to a provider. */
   void sends(Attempt attempt) {
-    world.trace.add(SENT, world.time.now(), attempt.proxy.index, attempt.provider.name.hashCode());
+    simulation.trace.add(SENT, simulation.time.now(), attempt.proxy.index, attempt.provider.name.hashCode());
     if (attempt.visit.out > 0) {
-      broken("two attempts out", who(attempt.visit));
+      report("two attempts out", describe(attempt.visit));
     }
-    long told = newsOf(attempt).drainTold();
-    if (told > 0 && world.time.now() - told > DRAIN_GRACE + SLACK) {
-      broken("sent to a draining provider", attempt.provider.name + " by proxy " + attempt.proxy.index);
+    long drainingSince = knowledgeOf(attempt).drainingSince();
+    if (drainingSince > 0 && simulation.time.now() - drainingSince > DRAIN_GRACE_MICROS + TOLERANCE_MICROS) {
+      report("sent to a draining provider", attempt.provider.name + " by proxy " + attempt.proxy.index);
     }
   }
 
-  /** A proxy gives a final answer. */
+  /** A proxy sends a client a final answer of this kind: {@link #UP}, {@link #REJECTED} or {@link #FAILED}. */
   void answers(Visit visit, int kind) {
-    long now = world.time.now();
-    world.trace.add(kind, now, visit.proxy.index, visit.number);
+    long now = simulation.time.now();
+    simulation.trace.add(kind, now, visit.proxy.index, visit.number);
     visit.answers++;
     if (visit.answers > 1) {
-      broken("a second final answer", who(visit));
+      report("a second final answer", describe(visit));
     }
-    if (now > visit.deadline + SLACK) {
-      broken("an answer too late", who(visit));
+    if (now > visit.deadline + TOLERANCE_MICROS) {
+      report("an answer too late", describe(visit));
     }
   }
 
-  /** A client has given up; a proxy that lives owed it an answer by now. */
+  /** A client's deadline has expired; a proxy that is still running must have answered it. */
   void unanswered(Visit visit) {
-    world.time.after(SLACK, () -> {
+    simulation.time.after(TOLERANCE_MICROS, () -> {
       if (visit.answers == 0 && visit.invocation != 0 && visit.proxy.alive() && visit.proxy.life() == visit.life) {
-        broken("no final answer", who(visit));
+        report("no final answer", describe(visit));
       }
     });
   }
 
-  /** A message of a joined client goes unanswered; its proxy must end or move it within 7 s. */
+  /** A message of an established client gets no answer; its proxy must end or move the connection within 7 s. */
   void unanswered(Attempt attempt) {
-    long now = world.time.now();
+    long now = simulation.time.now();
     if (attempt.unansweredSince == 0) {
       attempt.unansweredSince = now;
-    } else if (now - attempt.unansweredSince > SILENCE + SLACK) {
-      broken("a silent provider's client not moved", who(attempt.visit));
-      attempt.unansweredSince = now; // told once for each such time
+    } else if (now - attempt.unansweredSince > MAX_SILENCE_MICROS + TOLERANCE_MICROS) {
+      report("a silent provider's client not moved", describe(attempt.visit));
+      attempt.unansweredSince = now; // reported once per period
     }
   }
 
-  /** A provider has ended a joined connection, as its proxy now knows; the client must be ended within a second. */
+  /** A proxy has seen the end of an established provider connection; it must end the client's within a second. */
   void ended(Attempt attempt) {
     Visit visit = attempt.visit;
-    world.time.after(END + SLACK, () -> {
+    simulation.time.after(MAX_END_DELAY_MICROS + TOLERANCE_MICROS, () -> {
       if (!visit.closed && !visit.gaveUp && visit.proxy.alive() && visit.proxy.life() == visit.life) {
-        broken("a client outlives its provider's end", who(visit));
+        report("a client outlives its provider's end", describe(visit));
       }
     });
   }
 
-  /** A proxy cuts a joined client off by itself. */
+  /** A proxy has closed an established client connection without {@code MOVE}. */
   void cutOff(Visit visit) {
-    broken("a client cut off without MOVE", who(visit));
+    report("a client cut off without MOVE", describe(visit));
   }
 
+  /** A provider has restarted. */
   void started(EmulatedProvider provider) {
-    coldArrivals.remove(provider.name);
+    coldAttempts.remove(provider.name);
   }
 
-  /** A first line has come to a provider: a cold one must not get more than its budget, as far as that is the work of
-   * proxies told of its start. Those that list it as it was before cannot spare it. */
+  /**
+   * A provider has received an open request. A cold provider must not get more than its budget from proxies that know
+   * of its start; proxies that have not yet received the update cannot take it into account.
+   */
   void arrived(Attempt attempt) {
     EmulatedProvider provider = attempt.provider;
     if (!provider.cold()) {
       return;
     }
-    ArrayDeque<Arrival> arrivals = coldArrivals.computeIfAbsent(provider.name, any -> new ArrayDeque<>());
-    long now = world.time.now();
-    long window = world.experiment.fleet().coldWindow().toNanos() / 1000;
-    arrivals.add(new Arrival(now, newsOf(attempt).start() >= provider.since()));
-    while (arrivals.peek().at() <= now - window) {
-      arrivals.poll();
+    ArrayDeque<ColdAttempt> attempts = coldAttempts.computeIfAbsent(provider.name, any -> new ArrayDeque<>());
+    long now = simulation.time.now();
+    long window = simulation.experiment.fleet().coldWindow().toNanos() / 1000;
+    attempts.add(new ColdAttempt(now, knowledgeOf(attempt).startedAt() >= provider.since()));
+    while (attempts.peek().receivedAt() <= now - window) {
+      attempts.poll();
     }
-    double budget = world.experiment.fleet().coldMultiple() * world.newConnectionsPerSecond(provider)
+    double budget = simulation.experiment.fleet().coldMultiple() * simulation.newConnectionsPerSecond(provider)
         * provider.warmth() * window / 1e6;
-    budget += CHANCE * Math.sqrt(budget) + CHANCE;
-    world.figures.coldPeak = Math.max(world.figures.coldPeak, arrivals.size() / budget);
-    if (arrivals.size() > budget) {
-      long told = arrivals.stream().filter(Arrival::told).count();
-      if (told >= TOLD_PART * arrivals.size()) {
-        broken("a cold provider over its budget", provider.name + ": " + arrivals.size() + " over "
+    budget += BUDGET_DEVIATIONS * Math.sqrt(budget) + BUDGET_DEVIATIONS;
+    simulation.figures.coldPeak = Math.max(simulation.figures.coldPeak, attempts.size() / budget);
+    if (attempts.size() > budget) {
+      long informed = attempts.stream().filter(ColdAttempt::startKnown).count();
+      if (informed >= MIN_INFORMED_FRACTION * attempts.size()) {
+        report("a cold provider over its budget", provider.name + ": " + attempts.size() + " over "
             + Math.round(budget * 10) / 10.0);
       }
-      arrivals.clear(); // it has fallen over; count anew
+      attempts.clear(); // the provider counts as overloaded; start a new window
     }
   }
 }
--- a/lab/src/main/java/amberhoist/lab/emulator/EmulatedClient.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/EmulatedClient.java
@@ -3,209 +3,215 @@
 import amberhoist.core.InvocationRequest;
 import amberhoist.lab.experiment.Experiment.Type;
 
-/** A client: it wants a connection for as long as it lives, and comes again until it has one. */
+/** An emulated client: it wants a connection during its lifetime, and retries and reconnects until it has one. */
 final class EmulatedClient {
   final Type type;
   final int typeIndex;
   final int tenantIndex;
   final int group;
   final String zone;
-  private final World world;
-  private final String key;
+  private final World simulation;
+  private final String clientKey;
   private final String groupName;
   private final long wantsFrom;
   private final long wantsUntil;
-  private final double usual;
-  private final double patience; // which of the three kinds of client it is
-  private Visit visit;
-  private boolean returning;
+  private final double typicalLoad; // microseconds of work per second, as is load
+  private final double behavior; // from 0 to 1; selects how the client waits after a rejection
+  private Visit currentSession;
+  private boolean isReturning;
   private int rejections;
   private double load;
-  private final double shared; // the part of its worth that its account's share leaves it
+  private final double valueFraction; // of its value; below 1 if the tenant was over its share at arrival
 
-  EmulatedClient(World world, long number, int typeIndex, int tenantIndex, int group, String zone, long life,
-      double shared) {
-    this.world = world;
+  EmulatedClient(World simulation, long number, int typeIndex, int tenantIndex, int group, String zone, long lifeMicros,
+      double valueFraction) {
+    this.simulation = simulation;
     this.typeIndex = typeIndex;
     this.tenantIndex = tenantIndex;
     this.group = group;
     this.zone = zone;
-    this.shared = shared;
-    type = world.experiment.classes().get(typeIndex);
-    key = Long.toHexString(number);
+    this.valueFraction = valueFraction;
+    type = simulation.experiment.classes().get(typeIndex);
+    clientKey = Long.toHexString(number);
     groupName = "g" + group;
-    usual = type.load().toNanos() / 1000.0 * world.chance.logNormal(type.spread());
-    load = usual * world.chance.logNormal(type.swing());
-    patience = world.chance.part();
-    wantsFrom = world.time.now();
-    wantsUntil = wantsFrom + life;
-    world.time.at(wantsUntil, this::leave);
+    typicalLoad = type.load().toNanos() / 1000.0 * simulation.chance.logNormal(type.spread());
+    load = typicalLoad * simulation.chance.logNormal(type.swing());
+    behavior = simulation.chance.part();
+    wantsFrom = simulation.time.now();
+    wantsUntil = wantsFrom + lifeMicros;
+    simulation.time.at(wantsUntil, this::disconnect);
   }
 
-  /** What its load is now, micros of work a second. */
+  /** Its current load, microseconds of work per second. */
   double load() {
     return load;
   }
 
-  /** What a second of its connection is worth. */
+  /** Value of a second of its connection. */
   double worth() {
-    return type.worth() * shared * (world.experiment.load().byWork() ? usual / world.usualLoad() : 1);
+    return type.worth() * valueFraction
+        * (simulation.experiment.load().byWork() ? typicalLoad / simulation.usualLoad() : 1);
   }
 
-  private boolean done() {
-    return world.time.now() >= wantsUntil;
+  private boolean isDone() {
+    return simulation.time.now() >= wantsUntil;
   }
 
-  /** What it asks a proxy for. */
+  /** The request that it sends to a proxy. */
   InvocationRequest arrival() {
-    return new InvocationRequest(type.name(), world.experiment.tenants().get(tenantIndex).name(), key, groupName,
-        type.deadline().toMillis(), world.experiment.load().hints() ? usual : 0, false, returning, null);
+    return new InvocationRequest(type.name(), simulation.experiment.tenants().get(tenantIndex).name(), clientKey,
+        groupName, type.deadline().toMillis(), simulation.experiment.load().hints() ? typicalLoad : 0, false,
+        isReturning, null);
   }
 
-  /** Connects, unless it wants nothing any more. */
+  /** Connects to a proxy, unless its lifetime is over or it has a connection. */
   void connect() {
-    if (done() || visit != null) {
+    if (isDone() || currentSession != null) {
       return;
     }
-    EmulatedProxy proxy = world.front(this);
+    EmulatedProxy proxy = simulation.front(this);
     if (proxy == null) {
-      again(world.backoff(1));
+      connectAfter(simulation.backoff(1));
       return;
     }
-    long now = world.time.now();
+    long now = simulation.time.now();
     long deadline = now + type.deadline().toNanos() / 1000;
-    Visit mine = new Visit(this, proxy, now, deadline);
-    visit = mine;
-    world.figures.asked();
-    world.time.after(world.clientDelay(), () -> proxy.arrive(mine));
-    world.time.at(deadline, () -> giveUp(mine));
-  }
-
-  private void giveUp(Visit mine) {
-    if (visit == mine && mine.answers == 0) {
-      mine.gaveUp = true;
-      visit = null;
-      world.checker.unanswered(mine);
-      world.time.after(world.clientDelay(), () -> mine.proxy.clientLeft(mine));
-      again(world.backoff(++rejections));
+    Visit session = new Visit(this, proxy, now, deadline);
+    currentSession = session;
+    simulation.figures.asked();
+    simulation.time.after(simulation.clientDelay(), () -> proxy.arrive(session));
+    simulation.time.at(deadline, () -> expire(session));
+  }
+
+  /** The client's deadline has passed without a final answer. */
+  private void expire(Visit session) {
+    if (currentSession == session && session.answers == 0) {
+      session.gaveUp = true;
+      currentSession = null;
+      simulation.checker.unanswered(session);
+      simulation.time.after(simulation.clientDelay(), () -> session.proxy.clientLeft(session));
+      connectAfter(simulation.backoff(++rejections));
     }
   }
 
-  private void again(long micros) {
-    world.time.after(micros, this::connect);
+  private void connectAfter(long delayMicros) {
+    simulation.time.after(delayMicros, this::connect);
   }
 
-  /** The proxy was not there. */
-  void refused(Visit mine) {
-    if (visit == mine) {
-      visit = null;
-      again(world.backoff(1));
+  /** No proxy accepted the connection. */
+  void refused(Visit session) {
+    if (currentSession == session) {
+      currentSession = null;
+      connectAfter(simulation.backoff(1));
     }
   }
 
-  void rejected(Visit mine, long advice) {
-    if (visit != mine) {
+  /** The proxy has rejected or failed the request; {@code retryAfter} in microseconds, 0 for none. */
+  void rejected(Visit session, long retryAfter) {
+    if (currentSession != session) {
       return;
     }
-    visit = null;
+    currentSession = null;
     rejections++;
-    world.figures.rejected();
-    if (patience < world.experiment.clients().atOnce()) {
-      again(1000);
-    } else if (advice > 0 && patience > 1 - world.experiment.clients().honour()) {
-      again(advice);
+    simulation.figures.rejected();
+    if (behavior < simulation.experiment.clients().atOnce()) {
+      connectAfter(1000);
+    } else if (retryAfter > 0 && behavior > 1 - simulation.experiment.clients().honour()) {
+      connectAfter(retryAfter);
     } else {
-      again(world.backoff(rejections));
+      connectAfter(simulation.backoff(rejections));
     }
   }
 
-  void served(Visit mine) {
-    if (visit != mine || mine.closed) {
+  /** The connection is established. */
+  void served(Visit session) {
+    if (currentSession != session || session.closed) {
       return;
     }
     rejections = 0;
-    world.figures.served(this, world.time.now() - mine.sentAt);
-    world.time.after(world.chance.between(0, world.messagePeriod()), () -> message(mine));
-    world.time.after(changeAfter(), () -> change(mine));
-    if (done()) {
-      leave();
+    simulation.figures.served(this, simulation.time.now() - session.sentAt);
+    simulation.time.after(simulation.chance.between(0, simulation.messagePeriod()), () -> sendMessage(session));
+    simulation.time.after(nextLoadChange(), () -> changeLoad(session));
+    if (isDone()) {
+      disconnect();
     }
   }
 
-  /** A message, and its answer if one comes; each stands for the time until the next. */
-  private void message(Visit mine) {
-    if (visit != mine || mine.closed || mine.joined == null || !mine.proxy.holds(mine.joined)) {
+  /** Sends a message; one that is answered in time counts as service until the next message. */
+  private void sendMessage(Visit session) {
+    if (currentSession != session || session.closed || session.joined == null || !session.proxy.holds(session.joined)) {
       return;
     }
-    Attempt attempt = mine.joined;
-    mine.proxy.asked(attempt);
+    Attempt attempt = session.joined;
+    session.proxy.asked(attempt);
     EmulatedProvider provider = attempt.provider;
-    if (provider.answers(mine.proxy)) {
+    if (provider.answers(session.proxy)) {
       double micros = provider.messageTime(type);
       boolean inTime = micros <= type.message().toNanos() / 1000.0;
       if (inTime) {
-        world.figures.good(this);
+        simulation.figures.good(this);
       }
-      long way = world.delay(provider.zone, mine.proxy.zone);
+      long delay = simulation.delay(provider.zone, session.proxy.zone);
       attempt.unansweredSince = 0;
-      world.time.after(2 * way + (long) micros, () -> mine.proxy.returned(attempt));
+      simulation.time.after(2 * delay + (long) micros, () -> session.proxy.returned(attempt));
     } else {
-      world.checker.unanswered(attempt);
+      simulation.checker.unanswered(attempt);
     }
-    world.time.after(world.messagePeriod(), () -> message(mine));
+    simulation.time.after(simulation.messagePeriod(), () -> sendMessage(session));
   }
 
-  private long changeAfter() {
-    return (long) (world.chance.exponential(type.change().toNanos() / 1000.0));
+  private long nextLoadChange() {
+    return (long) (simulation.chance.exponential(type.change().toNanos() / 1000.0));
   }
 
-  private void change(Visit mine) {
-    if (visit == mine && !mine.closed && mine.joined != null) {
-      load = usual * world.chance.logNormal(type.swing());
-      mine.joined.provider.loadChanged(mine.joined, load);
-      world.time.after(changeAfter(), () -> change(mine));
+  private void changeLoad(Visit session) {
+    if (currentSession == session && !session.closed && session.joined != null) {
+      load = typicalLoad * simulation.chance.logNormal(type.swing());
+      session.joined.provider.loadChanged(session.joined, load);
+      simulation.time.after(nextLoadChange(), () -> changeLoad(session));
     }
   }
 
-  /** Its connection has ended: it was told to move, or was cut off. */
-  void ended(Visit mine, boolean moved) {
-    if (visit == mine) {
-      visit = null;
-      returning = true;
-      world.figures.ended(moved);
-      again(world.rejoin());
+  /** The connection has ended, by MOVE ({@code moved}) or otherwise. */
+  void ended(Visit session, boolean moved) {
+    if (currentSession == session) {
+      currentSession = null;
+      isReturning = true;
+      simulation.figures.ended(moved);
+      connectAfter(simulation.rejoin());
     }
   }
 
-  void cut(Visit mine) {
-    ended(mine, false);
+  /** The proxy has reset the connection. */
+  void cut(Visit session) {
+    ended(session, false);
   }
 
-  /** Drops its connection by itself and comes again soon. */
-  void drop(long comesBack) {
-    if (visit != null) {
-      Visit mine = visit;
-      visit = null;
-      returning = true;
-      mine.gaveUp = true;
-      world.time.after(world.clientDelay(), () -> mine.proxy.clientLeft(mine));
-      again(comesBack);
+  /** Closes its connection, and connects again after this time in microseconds. */
+  void drop(long reconnectMicros) {
+    if (currentSession != null) {
+      Visit session = currentSession;
+      currentSession = null;
+      isReturning = true;
+      session.gaveUp = true;
+      simulation.time.after(simulation.clientDelay(), () -> session.proxy.clientLeft(session));
+      connectAfter(reconnectMicros);
     }
   }
 
-  private void leave() {
-    world.figures.wanted(this, wantsFrom, Math.min(world.time.now(), wantsUntil));
-    world.gone(this);
-    if (visit != null) {
-      Visit mine = visit;
-      visit = null;
-      mine.gaveUp = true;
-      world.time.after(world.clientDelay(), () -> mine.proxy.clientLeft(mine));
+  private void disconnect() {
+    simulation.figures.wanted(this, wantsFrom, Math.min(simulation.time.now(), wantsUntil));
+    simulation.gone(this);
+    if (currentSession != null) {
+      Visit session = currentSession;
+      currentSession = null;
+      session.gaveUp = true;
+      simulation.time.after(simulation.clientDelay(), () -> session.proxy.clientLeft(session));
     }
   }
 
-  /** The world ends while it still wants its connection. */
+  /** The simulation ends within the client's lifetime. */
   void worldEnds() {
-    world.figures.wanted(this, wantsFrom, world.time.now());
+    simulation.figures.wanted(this, wantsFrom, simulation.time.now());
   }
 }
--- a/lab/src/main/java/amberhoist/lab/emulator/EmulatedProvider.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/EmulatedProvider.java
@@ -14,75 +14,80 @@
 import java.util.Set;
 
 /**
- * A provider. Its connections ask for work at their loads, each group once more for what it shares; what it cannot do
- * at once piles up, and messages wait behind it. A set-up is work too, waits behind the pile, and asks the store.
+ * An emulated provider with a fluid queue: work arrives at the sum of the loads of its connections, plus a fixed load
+ * for each group with a member here, and work beyond its capacity accumulates as a backlog that delays messages. A
+ * setup adds work too: it completes when the backlog before it is done and the shared store has answered.
+ *
+ * <p>Work is measured in microseconds of one core of speed 1.
  */
 final class EmulatedProvider {
-  private static final double MICRO = 1e6;
-  private static final long PERIOD = 1_000_000; // between delays told to a proxy
-  private static final double NEAR = 0.02; // of its capacity left: messages take no longer than that makes them
-  private static final double SHED = 3 * MICRO; // work piled up, in time, from which the newest connection is dropped
+  private static final double MICROS_PER_SECOND = 1e6;
+  private static final long REPORT_PERIOD_MICROS = 1_000_000; // of queueing delays
+  /** Lower bound on the free fraction of the capacity, by which message times are divided. */
+  private static final double MIN_FREE_FRACTION = 0.02;
+  /** Backlog, as the time to work it off, above which connections are dropped. */
+  private static final double MAX_BACKLOG_MICROS = 3 * MICROS_PER_SECOND;
 
   final String name;
   final String zone;
   final Kind kind;
-  private final World world;
-  private final double work; // micros of work a micro when warm
-  private final List<Set<Attempt>> standing = new ArrayList<>(); // by proxy
-  private final Map<Integer, Integer> groups = new HashMap<>();
-  private final Set<Integer> cutFrom = new LinkedHashSet<>();
-  private boolean process = true;
-  private boolean vanished;
-  private boolean hung;
-  private boolean draining;
-  private long startedAt; // 0 for long ago
-  private double demand; // micros of work a second
-  private double pile; // micros of work
-  private long settledAt;
+  private final World simulation;
+  private final double warmRate; // work per microsecond when warm
+  private final List<Set<Attempt>> establishedByProxy = new ArrayList<>(); // by proxy index
+  private final Map<Integer, Integer> groupMembers = new HashMap<>();
+  private final Set<Integer> unreachableProxies = new LinkedHashSet<>();
+  private boolean running = true; // the process; false while it is stopped or has been killed
+  private boolean vanished; // the host is lost: no packet arrives or leaves
+  private boolean hung; // accepts work and answers nothing
+  private boolean drainStarted;
+  private long startedAt; // of the last restart; 0 for none
+  private double demand; // work per second
+  private double backlog; // work, as of backlogUpdatedAt
+  private long backlogUpdatedAt;
   private int connections;
-  private int waiting;
-  private int life;
+  private int queuedSetups;
+  private int incarnation;
 
-  EmulatedProvider(World world, String name, String zone, Kind kind, Chance chance) {
-    this.world = world;
+  EmulatedProvider(World simulation, String name, String zone, Kind kind, Chance random) {
+    this.simulation = simulation;
     this.name = name;
     this.zone = zone;
     this.kind = kind;
-    double speed = kind.speed() * (1 + kind.spread() * (2 * chance.part() - 1));
-    work = kind.cores() * speed;
-    for (int i = 0; i < world.experiment.fleet().proxies(); i++) {
-      standing.add(new LinkedHashSet<>());
+    double speed = kind.speed() * (1 + kind.spread() * (2 * random.part() - 1));
+    warmRate = kind.cores() * speed;
+    for (int i = 0; i < simulation.experiment.fleet().proxies(); i++) {
+      establishedByProxy.add(new LinkedHashSet<>());
     }
-    settledAt = world.time.now();
-    beat();
+    backlogUpdatedAt = simulation.time.now();
+    scheduleReport();
   }
 
-  /** Work that it can do when warm, micros a second. */
+  /** Work per second that it can do when warm. */
   double capacity() {
-    return work * MICRO;
+    return warmRate * MICROS_PER_SECOND;
   }
 
-  /** The part of its capacity that it has by now. */
+  /** The fraction of its warm capacity that is available now; above 0, at most 1. */
   double warmth() {
-    long cold = kind.coldTime().toNanos() / 1000;
-    if (startedAt == 0 || cold == 0) {
+    long warmUpMicros = kind.coldTime().toNanos() / 1000;
+    if (startedAt == 0 || warmUpMicros == 0) {
       return 1;
     }
-    double part = (double) (world.time.now() - startedAt) / cold;
-    return Math.min(1, kind.coldShare() + (1 - kind.coldShare()) * part);
+    double elapsedFraction = (double) (simulation.time.now() - startedAt) / warmUpMicros;
+    return Math.min(1, kind.coldShare() + (1 - kind.coldShare()) * elapsedFraction);
   }
 
-  /** The time in which it warms up; never 0. */
+  /** The length of its warm-up in seconds, at least 0.001. */
   double coldSeconds() {
     return Math.max(1, kind.coldTime().toMillis()) / 1000.0;
   }
 
   boolean process() {
-    return process;
+    return running;
   }
 
   boolean draining() {
-    return draining;
+    return drainStarted;
   }
 
   boolean cold() {
@@ -91,128 +96,134 @@
 
   /** Whether packets pass between it and this proxy. */
   boolean reachable(EmulatedProxy proxy) {
-    return !vanished && !cutFrom.contains(proxy.index);
+    return !vanished && !unreachableProxies.contains(proxy.index);
   }
 
-  /** When it started, in micros; 0 for long ago. */
+  /** Time of its last restart in microseconds; 0 if it has not been restarted. */
   long since() {
     return startedAt;
   }
 
-  /** As the directory lists it. */
+  /** Its current entry in the directory. */
   Server listed() {
-    ServerState state = !process || vanished ? ServerState.GONE : draining ? ServerState.DRAINING : ServerState.READY;
+    ServerState state = !running || vanished ? ServerState.GONE
+        : drainStarted ? ServerState.DRAINING : ServerState.READY;
     return new Server(name, zone, kind.name(), 0, state, 1, startedAt);
   }
 
-  private void settle() {
-    long now = world.time.now();
-    double gap = now - settledAt;
-    if (gap > 0) {
-      pile = Math.max(0, pile + gap * (demand / MICRO - work * warmth()));
-      settledAt = now;
+  /** Brings the backlog up to the present time at the current demand. */
+  private void updateBacklog() {
+    long now = simulation.time.now();
+    double elapsed = now - backlogUpdatedAt;
+    if (elapsed > 0) {
+      backlog = Math.max(0, backlog + elapsed * (demand / MICROS_PER_SECOND - warmRate * warmth()));
+      backlogUpdatedAt = now;
     }
   }
 
-  /** The load asked of it over what it can do now. */
+  /** Current demand over current capacity; above 1 the backlog grows. */
   double heat() {
-    return demand / MICRO / (work * warmth());
+    return demand / MICROS_PER_SECOND / (warmRate * warmth());
   }
 
-  /** How long a message of this class takes now, in micros. */
+  /** The time that a message of this class takes now, in microseconds. */
   double messageTime(Type type) {
-    settle();
-    double able = work * warmth();
-    double left = Math.max(NEAR, 1 - demand / MICRO / able);
-    return type.messageWork().toNanos() / 1000 / (work / kind.cores() * warmth()) / left + pile / able;
+    updateBacklog();
+    double rate = warmRate * warmth();
+    double freeFraction = Math.max(MIN_FREE_FRACTION, 1 - demand / MICROS_PER_SECOND / rate);
+    return type.messageWork().toNanos() / 1000 / (warmRate / kind.cores() * warmth()) / freeFraction + backlog / rate;
   }
 
-  /** A first line has come. */
+  /** An open request has arrived. Ignores one whose connection has been closed or whose proxy is unreachable. */
   void arrive(Attempt attempt) {
     if (attempt.left || !reachable(attempt.proxy)) {
       return;
     }
-    long way = world.delay(zone, attempt.proxy.zone);
-    if (!process) {
-      world.time.after(way, () -> attempt.proxy.answered(attempt, Outcome.RESET));
+    long delay = simulation.delay(zone, attempt.proxy.zone);
+    if (!running) {
+      simulation.time.after(delay, () -> attempt.proxy.answered(attempt, Outcome.RESET));
       return;
     }
-    world.checker.arrived(attempt);
+    simulation.checker.arrived(attempt);
     if (hung) {
-      return; // takes it, and answers nothing
+      return; // accepted, but never answered
     }
-    if (draining || connections + waiting >= kind.connections() * kind.cores()
-        || waiting >= kind.queue() * kind.cores()) {
-      world.time.after(way, () -> attempt.proxy.answered(attempt, Outcome.FULL));
+    if (drainStarted || connections + queuedSetups >= kind.connections() * kind.cores()
+        || queuedSetups >= kind.queue() * kind.cores()) {
+      simulation.time.after(delay, () -> attempt.proxy.answered(attempt, Outcome.FULL));
       return;
     }
-    if (world.chance.happens(kind.errors())) {
-      world.time.after(way, () -> attempt.proxy.answered(attempt, Outcome.ERROR));
+    if (simulation.chance.happens(kind.errors())) {
+      simulation.time.after(delay, () -> attempt.proxy.answered(attempt, Outcome.ERROR));
       return;
     }
-    settle();
-    double needed = attempt.visit.client.type.setupWork().toNanos() / 1000.0 * world.chance.logNormal(0.8);
-    pile += needed;
-    waiting++;
+    updateBacklog();
+    double setupWork = attempt.visit.client.type.setupWork().toNanos() / 1000.0 * simulation.chance.logNormal(0.8);
+    backlog += setupWork;
+    queuedSetups++;
     attempt.waiting = true;
-    long own = world.time.now() + (long) (pile / (work * warmth()));
-    int ofLife = life;
-    world.time.at(Math.max(own, world.askStore()), () -> setUp(attempt, ofLife));
+    long backlogDoneAt = simulation.time.now() + (long) (backlog / (warmRate * warmth()));
+    int ofIncarnation = incarnation;
+    simulation.time.at(Math.max(backlogDoneAt, simulation.askStore()), () -> completeSetup(attempt, ofIncarnation));
   }
 
-  private void setUp(Attempt attempt, int ofLife) {
-    if (life != ofLife || !attempt.waiting) {
+  /** Establishes a connection, unless the provider was cleared or the attempt closed since the setup was queued. */
+  private void completeSetup(Attempt attempt, int ofIncarnation) {
+    if (incarnation != ofIncarnation || !attempt.waiting) {
       return;
     }
     attempt.waiting = false;
-    waiting--;
+    queuedSetups--;
     if (attempt.left || hung) {
       return;
     }
     attempt.up = true;
     connections++;
-    standing.get(attempt.proxy.index).add(attempt);
-    settle();
-    demand += share(attempt, 1);
+    establishedByProxy.get(attempt.proxy.index).add(attempt);
+    updateBacklog();
+    demand += updateGroupDemand(attempt, 1);
     attempt.load = attempt.visit.client.load();
     demand += attempt.load;
-    long way = world.delay(zone, attempt.proxy.zone);
+    long delay = simulation.delay(zone, attempt.proxy.zone);
     if (reachable(attempt.proxy)) {
-      world.time.after(way, () -> attempt.proxy.up(attempt));
-      world.time.after(way + 1, () -> attempt.proxy.load(attempt, attempt.load));
+      simulation.time.after(delay, () -> attempt.proxy.up(attempt));
+      simulation.time.after(delay + 1, () -> attempt.proxy.load(attempt, attempt.load));
     }
   }
 
-  /** What joining or leaving its group makes a difference of, in micros of work a second. */
-  private double share(Attempt attempt, int by) {
+  /**
+   * Adds (1) or removes (-1) a member of the attempt's group and returns the change in demand: the group's shared load
+   * is there as long as the group has a member.
+   */
+  private double updateGroupDemand(Attempt attempt, int memberChange) {
     EmulatedClient client = attempt.visit.client;
-    int members = groups.merge(client.group, by, Integer::sum);
-    if (members == 0) {
-      groups.remove(client.group);
+    int memberCount = groupMembers.merge(client.group, memberChange, Integer::sum);
+    if (memberCount == 0) {
+      groupMembers.remove(client.group);
     }
-    boolean changes = by > 0 ? members == 1 : members == 0;
-    double cost = world.experiment.fleet().groupCost() * client.type.load().toNanos() / 1000;
-    return changes ? by * cost : 0;
+    boolean firstOrLast = memberChange > 0 ? memberCount == 1 : memberCount == 0;
+    double cost = simulation.experiment.fleet().groupCost() * client.type.load().toNanos() / 1000;
+    return firstOrLast ? memberChange * cost : 0;
   }
 
-  /** The load of a connection's client is now another. */
+  /** The load of a connection's client has changed, in work per second. */
   void loadChanged(Attempt attempt, double load) {
     if (attempt.up) {
-      settle();
+      updateBacklog();
       demand += load - attempt.load;
       attempt.load = load;
-      if (process && !vanished && reachable(attempt.proxy)) {
-        world.time.after(world.delay(zone, attempt.proxy.zone), () -> attempt.proxy.load(attempt, load));
+      if (running && !vanished && reachable(attempt.proxy)) {
+        simulation.time.after(simulation.delay(zone, attempt.proxy.zone), () -> attempt.proxy.load(attempt, load));
       }
     }
   }
 
-  /** The proxy has closed a connection. */
+  /** The proxy has closed a connection, established or not. */
   void left(Attempt attempt) {
     attempt.left = true;
     if (attempt.waiting) {
       attempt.waiting = false;
-      waiting--;
+      queuedSetups--;
     }
     remove(attempt);
   }
@@ -220,44 +231,49 @@
   private void remove(Attempt attempt) {
     if (attempt.up) {
       attempt.up = false;
-      settle();
-      demand += share(attempt, -1) - attempt.load;
+      updateBacklog();
+      demand += updateGroupDemand(attempt, -1) - attempt.load;
       connections--;
-      standing.get(attempt.proxy.index).remove(attempt);
+      establishedByProxy.get(attempt.proxy.index).remove(attempt);
       if (connections == 0) {
-        demand = 0; // rounding must not be left over
+        demand = 0; // drops accumulated rounding errors
       }
     }
   }
 
-  /** Whether a message that comes now is answered. */
+  /** Whether a message that arrives from this proxy now is answered. */
   boolean answers(EmulatedProxy proxy) {
-    return process && !hung && reachable(proxy);
-  }
-
-  /** Once a second: delays told, and the newest connections dropped where too much is piled up. */
-  private void beat() {
-    world.time.after(PERIOD, () -> {
-      if (process && !vanished && !hung && connections > 0) {
-        settle();
-        tellDelays();
-        for (int drops = 0; pile / (work * warmth()) > SHED && drops < 50 && connections > 0; drops++) {
+    return running && !hung && reachable(proxy);
+  }
+
+  /**
+   * Schedules the next periodic report: sends queueing delays, and drops connections, up to 50 at a time, while the
+   * backlog is too long. Each connection dropped also removes 3 % of the backlog.
+   */
+  private void scheduleReport() {
+    simulation.time.after(REPORT_PERIOD_MICROS, () -> {
+      if (running && !vanished && !hung && connections > 0) {
+        updateBacklog();
+        sendQueueingDelays();
+        for (int drops = 0; backlog / (warmRate * warmth()) > MAX_BACKLOG_MICROS && drops < 50
+            && connections > 0; drops++) {
           drop(kind.sheds() == Shed.HEAVIEST ? heaviest() : newest());
-          pile *= 0.97;
+          backlog *= 0.97;
         }
       }
-      beat();
+      scheduleReport();
     });
   }
 
-  private void tellDelays() {
-    for (Set<Attempt> of : standing) {
-      if (!of.isEmpty()) {
-        Attempt first = of.iterator().next();
+  /** Sends each proxy one queueing delay when messages take more than a third of the shortest message target. */
+  private void sendQueueingDelays() {
+    for (Set<Attempt> attempts : establishedByProxy) {
+      if (!attempts.isEmpty()) {
+        Attempt first = attempts.iterator().next();
         double micros = messageTime(first.visit.client.type);
-        if (micros > world.shortestMessageAim() / 3 && reachable(first.proxy)) {
+        if (micros > simulation.shortestMessageAim() / 3 && reachable(first.proxy)) {
           double millis = Math.rint(micros / 10) / 100;
-          world.time.after(world.delay(zone, first.proxy.zone), () -> first.proxy.load(first, millis));
+          simulation.time.after(simulation.delay(zone, first.proxy.zone), () -> first.proxy.load(first, millis));
         }
       }
     }
@@ -265,8 +281,8 @@
 
   private Attempt newest() {
     Attempt newest = null;
-    for (Set<Attempt> of : standing) {
-      for (Attempt attempt : of) {
+    for (Set<Attempt> attempts : establishedByProxy) {
+      for (Attempt attempt : attempts) {
         newest = newest == null || attempt.visit.sentAt > newest.visit.sentAt ? attempt : newest;
       }
     }
@@ -275,8 +291,8 @@
 
   private Attempt heaviest() {
     Attempt heaviest = null;
-    for (Set<Attempt> of : standing) {
-      for (Attempt attempt : of) {
+    for (Set<Attempt> attempts : establishedByProxy) {
+      for (Attempt attempt : attempts) {
         heaviest = heaviest == null || attempt.load > heaviest.load ? attempt : heaviest;
       }
     }
@@ -285,78 +301,84 @@
 
   private void drop(Attempt attempt) {
     remove(attempt);
-    world.figures.dropped++;
-    world.time.after(world.delay(zone, attempt.proxy.zone), () -> attempt.proxy.ended(attempt, Outcome.RESET));
+    simulation.figures.dropped++;
+    simulation.time.after(simulation.delay(zone, attempt.proxy.zone),
+        () -> attempt.proxy.ended(attempt, Outcome.RESET));
   }
 
+  /** Sets whether it is hung: it accepts work and answers nothing. */
   void hang(boolean now) {
     hung = now;
   }
 
+  /** Sets whether it is unreachable from this proxy. */
   void cut(EmulatedProxy proxy, boolean now) {
     if (now) {
-      cutFrom.add(proxy.index);
+      unreachableProxies.add(proxy.index);
     } else {
-      cutFrom.remove(proxy.index);
+      unreachableProxies.remove(proxy.index);
     }
   }
 
-  /** Loses it without a sign; what stood on it is forgotten. */
+  /** The host is lost: its connections end without any packet to their proxies. */
   void vanish() {
     vanished = true;
-    forget();
+    clearConnections();
   }
 
-  /** Everything that stood or waited is gone, whoever knows of it. */
-  private void forget() {
-    life++;
-    standing.forEach(of -> new ArrayList<>(of).forEach(this::remove));
-    waiting = 0;
-    pile = 0;
+  /** Drops all connections and queued setups without notice to their proxies. */
+  private void clearConnections() {
+    incarnation++;
+    establishedByProxy.forEach(attempts -> new ArrayList<>(attempts).forEach(this::remove));
+    queuedSetups = 0;
+    backlog = 0;
     demand = 0;
   }
 
-  /** Begins to drain: nothing new; unless it keeps its clients they are sent away evenly; when time is up it stops. */
+  /**
+   * Starts to drain: rejects new connections, and stops the process after this time in microseconds, followed by the
+   * callback. Unless this kind of machine keeps its connections, ends them one by one at even intervals until then.
+   */
   void drain(long micros, Runnable stopped) {
-    draining = true;
+    drainStarted = true;
     List<Attempt> all = new ArrayList<>();
     if (!kind.keeps()) {
-      standing.forEach(all::addAll);
+      establishedByProxy.forEach(all::addAll);
     }
     for (int i = 0; i < all.size(); i++) {
       Attempt attempt = all.get(i);
-      world.time.after(micros * (i + 1) / (all.size() + 1), () -> {
+      simulation.time.after(micros * (i + 1) / (all.size() + 1), () -> {
         if (attempt.up) {
           remove(attempt);
-          world.time.after(world.delay(zone, attempt.proxy.zone),
+          simulation.time.after(simulation.delay(zone, attempt.proxy.zone),
               () -> attempt.proxy.ended(attempt, Outcome.CANCELLED));
         }
       });
     }
-    world.time.after(micros, () -> {
+    simulation.time.after(micros, () -> {
       kill();
       stopped.run();
     });
   }
 
-  /** The process dies: its connections are reset. */
+  /** Stops the process; its connections are reset. */
   void kill() {
-    process = false;
+    running = false;
     List<Attempt> all = new ArrayList<>();
-    standing.forEach(all::addAll);
-    forget();
-    all.forEach(attempt -> world.time.after(world.delay(zone, attempt.proxy.zone),
+    establishedByProxy.forEach(all::addAll);
+    clearConnections();
+    all.forEach(attempt -> simulation.time.after(simulation.delay(zone, attempt.proxy.zone),
         () -> attempt.proxy.ended(attempt, Outcome.RESET)));
   }
 
-  /** Starts again, cold. */
+  /** Restarts the process, cold. */
   void start() {
-    process = true;
+    running = true;
     vanished = false;
     hung = false;
-    draining = false;
-    startedAt = world.time.now();
-    settledAt = startedAt;
-    world.checker.started(this);
+    drainStarted = false;
+    startedAt = simulation.time.now();
+    backlogUpdatedAt = startedAt;
+    simulation.checker.started(this);
   }
 }
--- a/lab/src/main/java/amberhoist/lab/emulator/EmulatedProxy.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/EmulatedProxy.java
@@ -13,24 +13,24 @@
 import java.util.List;
 import java.util.Set;
 
-/** A proxy: the real core and the real module, with the emulated network in place of sockets. */
+/** A proxy with the real core and decision module, and the emulated network in place of sockets. */
 final class EmulatedProxy implements Commands {
-  private static final long TICK = 4_000; // as the real loop's
-  private static final long DIAL = 250_000;
+  private static final long TICK_MICROS = 4_000; // same as the proxy's event loop
+  private static final long CONNECT_TIMEOUT_MICROS = 250_000;
 
   final int index;
   final String zone;
-  private final World world;
-  private final SlotTable<Visit> visits = new SlotTable<>();
+  private final World simulation;
+  private final SlotTable<Visit> sessions = new SlotTable<>();
   private final SlotTable<Attempt> attempts = new SlotTable<>();
   private Counters counters = new Counters();
   private Core core;
-  private TimerWheel wheel;
-  private int life;
-  private boolean alive;
+  private TimerWheel timerWheel;
+  private int life; // incarnation: 0 before the first start, then counts starts
+  private boolean running;
 
-  EmulatedProxy(World world, int index, String zone) {
-    this.world = world;
+  EmulatedProxy(World simulation, int index, String zone) {
+    this.simulation = simulation;
     this.index = index;
     this.zone = zone;
   }
@@ -40,7 +40,7 @@
   }
 
   boolean alive() {
-    return alive;
+    return running;
   }
 
   void freshCounters() {
@@ -51,192 +51,196 @@
     return counters;
   }
 
-  /** Begins a life with this list. */
+  /** Starts or restarts the proxy with this server list. */
   void start(List<Server> known) {
-    alive = true;
+    running = true;
     life++;
-    long now = world.time.now();
-    wheel = new TimerWheel(TICK, now);
-    Limits limits = new Limits(DIAL, world.longestDeadline(), Set.of(), Set.of());
-    core = new Core(world.module(), wheel, this, counters, limits, world.timing(), Telemetry.NONE);
-    world.checker.starts(this, known);
-    core.start(now, world.settings(index, zone), world.seedOf(index, life), known);
-    tick(life);
-  }
-
-  private void tick(int ofLife) {
-    world.time.after(TICK, () -> {
-      if (alive && life == ofLife) {
-        wheel.advance(world.time.now());
-        tick(ofLife);
+    long now = simulation.time.now();
+    timerWheel = new TimerWheel(TICK_MICROS, now);
+    Limits limits = new Limits(CONNECT_TIMEOUT_MICROS, simulation.longestDeadline(), Set.of(), Set.of());
+    core = new Core(simulation.module(), timerWheel, this, counters, limits, simulation.timing(), Telemetry.NONE);
+    simulation.checker.starts(this, known);
+    core.start(now, simulation.settings(index, zone), simulation.seedOf(index, life), known);
+    scheduleTick(life);
+  }
+
+  private void scheduleTick(int ofIncarnation) {
+    simulation.time.after(TICK_MICROS, () -> {
+      if (running && life == ofIncarnation) {
+        timerWheel.advance(simulation.time.now());
+        scheduleTick(ofIncarnation);
       }
     });
   }
 
-  /** Tells it to end, as SIGTERM does; {@code gone} runs when it has. */
-  void stop(Runnable gone) {
-    int ofLife = life;
-    if (world.mutant == Mutant.CUTS_AT_STOP) {
-      alive = false;
-      cutAll();
-      gone.run();
+  /** Stops gracefully, as on SIGTERM; {@code onStopped} runs at the end, unless the proxy has been restarted. */
+  void stop(Runnable onStopped) {
+    int ofIncarnation = life;
+    if (simulation.mutant == Mutant.CUTS_AT_STOP) {
+      running = false;
+      resetAll();
+      onStopped.run();
       return;
     }
-    core.stop(world.time.now(), false, () -> {
-      if (life == ofLife && alive) {
-        alive = false;
-        cutAll();
-        gone.run();
+    core.stop(simulation.time.now(), false, () -> {
+      if (life == ofIncarnation && running) {
+        running = false;
+        resetAll();
+        onStopped.run();
       }
     });
   }
 
-  /** Whatever it still holds is reset. */
-  private void cutAll() {
-    visits.forEach(number -> {
-      Visit visit = visits.remove(number);
-      visit.closed = true;
-      if (visit.joined != null) {
-        world.checker.cutOff(visit);
+  /** Resets all remaining connections. */
+  private void resetAll() {
+    sessions.forEach(id -> {
+      Visit session = sessions.remove(id);
+      session.closed = true;
+      if (session.joined != null) {
+        simulation.checker.cutOff(session);
       }
-      world.time.after(world.clientDelay(), () -> visit.client.cut(visit));
+      simulation.time.after(simulation.clientDelay(), () -> session.client.cut(session));
     });
-    attempts.forEach(number -> leave(attempts.remove(number)));
+    attempts.forEach(id -> notifyClosed(attempts.remove(id)));
   }
 
-  /** A client's first line has come. */
-  void arrive(Visit visit) {
-    if (!alive || visit.life != life) {
-      world.time.after(world.clientDelay(), () -> visit.client.refused(visit));
+  /** A client's open request has arrived; the connection is refused if the proxy is down or has restarted. */
+  void arrive(Visit session) {
+    if (!running || session.life != life) {
+      simulation.time.after(simulation.clientDelay(), () -> session.client.refused(session));
       return;
     }
-    visit.number = visits.add(visit);
-    if (world.mutant == Mutant.FORGETS_CLIENTS && visit.number % 10 == 0) {
-      visit.invocation = -1;
+    session.number = sessions.add(session);
+    if (simulation.mutant == Mutant.FORGETS_CLIENTS && session.number % 10 == 0) {
+      session.invocation = -1;
       return;
     }
-    visit.invocation = core.onInvocation(world.time.now(), visit.number, visit.client.arrival());
+    session.invocation = core.onInvocation(simulation.time.now(), session.number, session.client.arrival());
   }
 
-  /** The client has ended its connection. */
-  void clientLeft(Visit visit) {
-    if (visit.life == life && alive && visits.remove(visit.number) != null) {
-      visit.closed = true;
-      if (visit.joined != null) {
-        close(visit.joined);
+  /** The client has closed its connection. */
+  void clientLeft(Visit session) {
+    if (session.life == life && running && sessions.remove(session.number) != null) {
+      session.closed = true;
+      if (session.joined != null) {
+        close(session.joined);
       }
-      core.onClientDisconnected(world.time.now(), visit.invocation);
+      core.onClientDisconnected(simulation.time.now(), session.invocation);
     }
   }
 
+  /** A directory update has arrived. */
   void told(ListUpdateKind kind, List<Server> servers) {
-    if (alive) {
-      servers.forEach(server -> world.checker.told(this, server));
-      if (world.mutant == Mutant.HEARS_NO_NEWS) {
+    if (running) {
+      servers.forEach(server -> simulation.checker.told(this, server));
+      if (simulation.mutant == Mutant.HEARS_NO_NEWS) {
         return;
       }
-      core.onDirectoryUpdate(world.time.now(), kind, servers);
+      core.onDirectoryUpdate(simulation.time.now(), kind, servers);
     }
   }
 
-  /** A message of the client passes. */
+  /** A client's message has been relayed. */
   void asked(Attempt attempt) {
-    if (world.mutant == Mutant.MISSES_SILENCE) {
+    if (simulation.mutant == Mutant.MISSES_SILENCE) {
       return;
     }
-    core.onClientLine(world.time.now(), attempt.invocation, attempt.number);
+    core.onClientLine(simulation.time.now(), attempt.invocation, attempt.number);
   }
 
-  /** A message of the provider passes. */
+  /** A provider's message has arrived. */
   void returned(Attempt attempt) {
     if (holds(attempt)) {
-      core.onProviderLine(world.time.now(), attempt.invocation, attempt.number);
+      core.onProviderLine(simulation.time.now(), attempt.invocation, attempt.number);
     }
   }
 
-  /** A LOAD line comes, with the load or with a delay in milliseconds. */
+  /** A LOAD line has arrived: a load in microseconds of work per second, or a queueing delay in milliseconds. */
   void load(Attempt attempt, double figure) {
     if (holds(attempt)) {
-      core.onLoadLine(world.time.now(), attempt.invocation, attempt.number, figure);
+      core.onLoadLine(simulation.time.now(), attempt.invocation, attempt.number, figure);
     }
   }
 
-  /** Whether this attempt is of this life and not closed here. */
+  /** Whether this attempt belongs to the current incarnation and is open on this side. */
   boolean holds(Attempt attempt) {
-    return alive && attempt.life == life && attempts.get(attempt.number) == attempt;
+    return running && attempt.life == life && attempts.get(attempt.number) == attempt;
   }
 
-  /** The provider's answer to an attempt, or the connection's early end. */
+  /** An attempt has ended before UP: by the provider's answer, or by the end of its connection. */
   void answered(Attempt attempt, Outcome outcome) {
     if (holds(attempt)) {
-      conclude(attempt);
-      core.onAttemptFailed(world.time.now(), attempt.invocation, attempt.number, outcome);
+      markConcluded(attempt);
+      core.onAttemptFailed(simulation.time.now(), attempt.invocation, attempt.number, outcome);
     }
   }
 
+  /** The provider has answered UP. */
   void up(Attempt attempt) {
     if (holds(attempt)) {
-      conclude(attempt);
-      core.onUp(world.time.now(), attempt.invocation, attempt.number);
+      markConcluded(attempt);
+      core.onUp(simulation.time.now(), attempt.invocation, attempt.number);
     }
   }
 
-  /** The provider has ended a joined connection. */
+  /** The provider has ended an established connection. */
   void ended(Attempt attempt, Outcome outcome) {
     if (!holds(attempt)) {
       return;
     }
     if (attempt.visit.joined == attempt) {
-      world.checker.ended(attempt);
+      simulation.checker.ended(attempt);
     }
-    if (world.mutant == Mutant.KEEPS_CLIENTS) {
+    if (simulation.mutant == Mutant.KEEPS_CLIENTS) {
       return;
     }
     attempts.remove(attempt.number);
-    Visit visit = attempt.visit;
-    if (visits.remove(visit.number) != null) {
-      visit.closed = true;
-      world.time.after(world.clientDelay(),
-          () -> visit.client.ended(visit, outcome == Outcome.CANCELLED));
+    Visit session = attempt.visit;
+    if (sessions.remove(session.number) != null) {
+      session.closed = true;
+      simulation.time.after(simulation.clientDelay(),
+          () -> session.client.ended(session, outcome == Outcome.CANCELLED));
     }
-    core.onConnectionEnded(world.time.now(), attempt.invocation, attempt.number, outcome);
+    core.onConnectionEnded(simulation.time.now(), attempt.invocation, attempt.number, outcome);
   }
 
-  private void conclude(Attempt attempt) {
+  /** Counts an attempt that was sent as no longer in flight. */
+  private void markConcluded(Attempt attempt) {
     if (attempt.sent && !attempt.concluded) {
       attempt.concluded = true;
       attempt.visit.out--;
     }
   }
 
-  /** The provider that a defect calls in place of this one. */
-  private EmulatedProvider misled(EmulatedProvider target) {
-    return switch (world.mutant) {
-      case CALLS_DRAINING -> world.providers().stream().filter(EmulatedProvider::draining).findFirst().orElse(target);
-      case SWAMPS_COLD -> world.providers().stream().filter(other -> other.process() && other.cold()
-          && !other.draining() && world.wasTold(other.since())).findFirst().orElse(target);
+  /** The provider that the mutant connects to in place of this one; {@code target} itself without such a defect. */
+  private EmulatedProvider mutantTarget(EmulatedProvider target) {
+    return switch (simulation.mutant) {
+      case CALLS_DRAINING -> simulation.providers().stream().filter(EmulatedProvider::draining).findFirst()
+          .orElse(target);
+      case SWAMPS_COLD -> simulation.providers().stream().filter(other -> other.process() && other.cold()
+          && !other.draining() && simulation.wasTold(other.since())).findFirst().orElse(target);
       default -> target;
     };
   }
 
   @Override
-  public long connect(long invocation, long client, String provider) {
-    Visit visit = visits.get(client);
-    EmulatedProvider target = misled(world.provider(provider));
-    if (visit == null || target == null) {
+  public long connect(long invocationId, long clientId, String provider) {
+    Visit session = sessions.get(clientId);
+    EmulatedProvider target = mutantTarget(simulation.provider(provider));
+    if (session == null || target == null) {
       return SlotTable.NONE;
     }
-    Attempt attempt = new Attempt(this, visit, target, invocation);
+    Attempt attempt = new Attempt(this, session, target, invocationId);
     attempt.number = attempts.add(attempt);
-    long way = world.delay(zone, target.zone);
+    long delay = simulation.delay(zone, target.zone);
     if (!target.process()) {
       if (target.reachable(this)) {
-        world.time.after(2 * way, () -> answered(attempt, Outcome.RESET)); // refused
+        simulation.time.after(2 * delay, () -> answered(attempt, Outcome.RESET)); // connection refused
       }
     } else if (target.reachable(this)) {
-      world.time.after(2 * way * world.experiment.network().handshakes(), () -> {
+      simulation.time.after(2 * delay * simulation.experiment.network().handshakes(), () -> {
         if (holds(attempt)) {
-          core.onConnected(world.time.now(), attempt.invocation, attempt.number);
+          core.onConnected(simulation.time.now(), attempt.invocation, attempt.number);
         }
       });
     }
@@ -244,127 +248,129 @@
   }
 
   @Override
-  public void forwardOpenRequest(long provider, long millis) {
-    Attempt attempt = attempts.get(provider);
+  public void forwardOpenRequest(long connectionId, long waitMillis) {
+    Attempt attempt = attempts.get(connectionId);
     if (attempt == null) {
       return;
     }
-    world.checker.sends(attempt);
+    simulation.checker.sends(attempt);
     attempt.sent = true;
     attempt.visit.out++;
-    if (world.mutant == Mutant.CALLS_TWO) {
-      world.checker.sends(attempt);
+    if (simulation.mutant == Mutant.CALLS_TWO) {
+      simulation.checker.sends(attempt);
     }
     attempt.visit.calls++;
-    long now = world.time.now();
-    world.time.at(now, () -> {
+    long now = simulation.time.now();
+    simulation.time.at(now, () -> {
       if (holds(attempt)) {
-        core.onOpenRequestWritten(world.time.now(), attempt.invocation, attempt.number);
+        core.onOpenRequestWritten(simulation.time.now(), attempt.invocation, attempt.number);
       }
     });
-    world.time.after(world.delay(zone, attempt.provider.zone), () -> attempt.provider.arrive(attempt));
+    simulation.time.after(simulation.delay(zone, attempt.provider.zone), () -> attempt.provider.arrive(attempt));
   }
 
   @Override
-  public void abandon(long provider) {
-    Attempt attempt = attempts.remove(provider);
-    if (attempt != null && world.mutant != Mutant.KEEPS_CALLS) {
-      conclude(attempt);
-      leave(attempt);
+  public void abandon(long connectionId) {
+    Attempt attempt = attempts.remove(connectionId);
+    if (attempt != null && simulation.mutant != Mutant.KEEPS_CALLS) {
+      markConcluded(attempt);
+      notifyClosed(attempt);
     }
   }
 
   private void close(Attempt attempt) {
     if (attempts.remove(attempt.number) != null) {
-      leave(attempt);
+      notifyClosed(attempt);
     }
   }
 
-  private void leave(Attempt attempt) {
-    world.time.after(world.delay(zone, attempt.provider.zone), () -> attempt.provider.left(attempt));
+  private void notifyClosed(Attempt attempt) {
+    simulation.time.after(simulation.delay(zone, attempt.provider.zone), () -> attempt.provider.left(attempt));
   }
 
   @Override
-  public void relay(long client, long provider) {
-    Visit visit = visits.get(client);
-    Attempt attempt = attempts.get(provider);
-    if (visit == null || attempt == null) {
+  public void relay(long clientId, long connectionId) {
+    Visit session = sessions.get(clientId);
+    Attempt attempt = attempts.get(connectionId);
+    if (session == null || attempt == null) {
       return;
     }
-    visit.joined = attempt;
-    if (world.mutant == Mutant.FORGETS_UP) {
+    session.joined = attempt;
+    if (simulation.mutant == Mutant.FORGETS_UP) {
       return;
     }
-    world.checker.answers(visit, Checker.UP);
-    if (world.mutant == Mutant.REJECTS_AFTER_UP) {
-      world.checker.answers(visit, Checker.REJECTED);
+    simulation.checker.answers(session, Checker.UP);
+    if (simulation.mutant == Mutant.REJECTS_AFTER_UP) {
+      simulation.checker.answers(session, Checker.REJECTED);
     }
-    world.time.after(world.clientDelay(), () -> visit.client.served(visit));
+    simulation.time.after(simulation.clientDelay(), () -> session.client.served(session));
   }
 
-  private Visit answer(long client, int kind) {
-    Visit visit = visits.remove(client);
-    if (visit != null) {
-      visit.closed = true;
-      world.checker.answers(visit, kind);
+  /** Closes a client's connection with a final answer; returns null if it is closed already. */
+  private Visit sendFinalAnswer(long clientId, int kind) {
+    Visit session = sessions.remove(clientId);
+    if (session != null) {
+      session.closed = true;
+      simulation.checker.answers(session, kind);
     }
-    return visit;
+    return session;
   }
 
   @Override
-  public void reject(long client, long retryAfter) {
-    if (world.mutant == Mutant.FORGETS_REJECTIONS) {
-      visits.remove(client);
+  public void reject(long clientId, long retryAfter) {
+    if (simulation.mutant == Mutant.FORGETS_REJECTIONS) {
+      sessions.remove(clientId);
       return;
     }
-    if (world.mutant == Mutant.REJECTS_TOO_LATE) {
-      Visit late = visits.get(client);
-      world.time.after(2 * world.longestDeadline(), () -> world.checker.answers(late, Checker.REJECTED));
-      visits.remove(client);
+    if (simulation.mutant == Mutant.REJECTS_TOO_LATE) {
+      Visit session = sessions.get(clientId);
+      simulation.time.after(2 * simulation.longestDeadline(),
+          () -> simulation.checker.answers(session, Checker.REJECTED));
+      sessions.remove(clientId);
       return;
     }
-    if (world.mutant == Mutant.ANSWERS_TWICE && visits.get(client) != null) {
-      world.checker.answers(visits.get(client), Checker.REJECTED);
+    if (simulation.mutant == Mutant.ANSWERS_TWICE && sessions.get(clientId) != null) {
+      simulation.checker.answers(sessions.get(clientId), Checker.REJECTED);
     }
-    Visit visit = answer(client, Checker.REJECTED);
-    if (visit != null) {
-      long advice = Math.min(retryAfter, World.MOST_ADVICE);
-      world.time.after(world.clientDelay(), () -> visit.client.rejected(visit, advice));
+    Visit rejected = sendFinalAnswer(clientId, Checker.REJECTED);
+    if (rejected != null) {
+      long limited = Math.min(retryAfter, World.MOST_ADVICE);
+      simulation.time.after(simulation.clientDelay(), () -> rejected.client.rejected(rejected, limited));
     }
   }
 
   @Override
-  public void fail(long client) {
-    Visit visit = answer(client, Checker.FAILED);
-    if (visit != null) {
-      world.time.after(world.clientDelay(), () -> visit.client.rejected(visit, 0));
+  public void fail(long clientId) {
+    Visit session = sendFinalAnswer(clientId, Checker.FAILED);
+    if (session != null) {
+      simulation.time.after(simulation.clientDelay(), () -> session.client.rejected(session, 0));
     }
   }
 
   @Override
-  public void move(long client) {
-    Visit visit = visits.remove(client);
-    if (visit != null) {
-      visit.closed = true;
-      world.figures.moves++;
-      if (visit.joined != null) {
-        close(visit.joined);
+  public void move(long clientId) {
+    Visit session = sessions.remove(clientId);
+    if (session != null) {
+      session.closed = true;
+      simulation.figures.moves++;
+      if (session.joined != null) {
+        close(session.joined);
       }
-      world.time.after(world.clientDelay(), () -> visit.client.ended(visit, true));
+      simulation.time.after(simulation.clientDelay(), () -> session.client.ended(session, true));
     }
   }
 
   @Override
   public void requestLoadReport(String provider) {
-    EmulatedProvider target = world.provider(provider);
-    int ofLife = life;
+    EmulatedProvider target = simulation.provider(provider);
+    int ofIncarnation = life;
     if (target != null && target.answers(this)) {
-      long way = world.delay(zone, target.zone) * (2 * world.experiment.network().handshakes() + 1);
-      world.time.after(way, () -> {
-        double heat = target.heat();
-        world.time.after(world.delay(zone, target.zone), () -> {
-          if (alive && life == ofLife && target.answers(this)) {
-            core.onLoadReport(world.time.now(), target.name, heat);
+      long arrivalDelay = simulation.delay(zone, target.zone) * (2 * simulation.experiment.network().handshakes() + 1);
+      simulation.time.after(arrivalDelay, () -> {
+        double utilization = target.heat();
+        simulation.time.after(simulation.delay(zone, target.zone), () -> {
+          if (running && life == ofIncarnation && target.answers(this)) {
+            core.onLoadReport(simulation.time.now(), target.name, utilization);
           }
         });
       });
@@ -373,11 +379,11 @@
 
   @Override
   public void watchDirectory() {
-    // it is always watched here; a directory that fails is a fault of the time line
+    // always watched here; outages of the directory are injected as faults
   }
 
   @Override
   public void log(String message) {
-    // nobody reads it
+    // discarded
   }
 }
--- a/lab/src/main/java/amberhoist/lab/emulator/Faults.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/Faults.java
@@ -4,130 +4,131 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What goes wrong in a world, on its time line. */
+/** Injects an experiment's faults at their times. */
 final class Faults {
-  private static final long RESTART = 400_000; // of a proxy, from its end to its first answer
-  private static final long KILL = 3_700_000; // after SIGTERM
+  private static final long RESTART_MICROS = 400_000; // from the end of a proxy's process to its restart
+  private static final long KILL_TIMEOUT_MICROS = 3_700_000; // from SIGTERM to SIGKILL
 
-  private final World world;
-  private final Chance chance;
+  private final World simulation;
+  private final Chance random;
 
-  Faults(World world, Chance chance) {
-    this.world = world;
-    this.chance = chance;
+  Faults(World simulation, Chance random) {
+    this.simulation = simulation;
+    this.random = random;
   }
 
   private static long micros(java.time.Duration duration) {
     return duration.toNanos() / 1000;
   }
 
-  /** Puts all faults on the time line. */
+  /** Schedules all faults. */
   void arm(List<Fault> faults) {
     for (Fault fault : faults) {
-      world.time.at(World.START + micros(fault.at()), () -> begin(fault));
+      simulation.time.at(World.START + micros(fault.at()), () -> inject(fault));
     }
   }
 
-  private <T> List<T> some(List<T> all, double share) {
-    List<T> left = new ArrayList<>(all);
-    List<T> some = new ArrayList<>();
+  /** A random sample of this share, at least one element of a non-empty list. */
+  private <T> List<T> sample(List<T> all, double share) {
+    List<T> remaining = new ArrayList<>(all);
+    List<T> sampled = new ArrayList<>();
     long count = Math.max(1, Math.round(share * all.size()));
-    while (some.size() < count && !left.isEmpty()) {
-      some.add(left.remove(chance.below(left.size())));
+    while (sampled.size() < count && !remaining.isEmpty()) {
+      sampled.add(remaining.remove(random.below(remaining.size())));
     }
-    return some;
+    return sampled;
   }
 
-  private void begin(Fault fault) {
-    long length = micros(fault.length());
+  private void inject(Fault fault) {
+    long duration = micros(fault.length());
     switch (fault.kind()) {
-      case HANG -> some(world.providers(), fault.share()).forEach(provider -> {
+      case HANG -> sample(simulation.providers(), fault.share()).forEach(provider -> {
         provider.hang(true);
-        world.time.after(length, () -> provider.hang(false));
+        simulation.time.after(duration, () -> provider.hang(false));
       });
-      case VANISH -> some(world.providers(), fault.share()).forEach(provider -> vanish(provider, length));
-      case DEPLOY -> deploy(some(world.providers(), fault.share()), length, fault.size());
+      case VANISH -> sample(simulation.providers(), fault.share()).forEach(provider -> vanish(provider, duration));
+      case DEPLOY -> deploy(sample(simulation.providers(), fault.share()), duration, fault.size());
       case STORE_SLOW -> {
-        world.slowStore(Math.max(1, fault.size()));
-        world.time.after(length, () -> world.slowStore(1));
+        simulation.slowStore(Math.max(1, fault.size()));
+        simulation.time.after(duration, () -> simulation.slowStore(1));
       }
-      case DROP -> some(world.clients(), fault.share()).forEach(client ->
-          world.time.after(chance.between(0, length), () -> client.drop(chance.between(0, length))));
-      case PROXY_RESTART -> restart(some(world.proxies(), fault.share()), 0);
+      case DROP -> sample(simulation.clients(), fault.share()).forEach(client ->
+          simulation.time.after(random.between(0, duration), () -> client.drop(random.between(0, duration))));
+      case PROXY_RESTART -> restart(sample(simulation.proxies(), fault.share()), 0);
       case BURST -> {
-        world.burst(fault.size());
-        world.time.after(length, () -> world.burst(1));
+        simulation.burst(fault.size());
+        simulation.time.after(duration, () -> simulation.burst(1));
       }
-      case SHRINK -> shrink(some(world.providers(), fault.share()), length, (long) (fault.size() * 1e6));
-      case DIRECTORY_DOWN -> world.directoryDown(world.time.now() + length);
-      case CUT -> some(world.proxies(), fault.share()).forEach(proxy ->
-          some(world.providers(), fault.size()).forEach(provider -> {
+      case SHRINK -> shrink(sample(simulation.providers(), fault.share()), duration, (long) (fault.size() * 1e6));
+      case DIRECTORY_DOWN -> simulation.directoryDown(simulation.time.now() + duration);
+      case CUT -> sample(simulation.proxies(), fault.share()).forEach(proxy ->
+          sample(simulation.providers(), fault.size()).forEach(provider -> {
             provider.cut(proxy, true);
-            world.time.after(length, () -> provider.cut(proxy, false));
+            simulation.time.after(duration, () -> provider.cut(proxy, false));
           }));
       default -> throw new IllegalStateException(fault.kind().toString());
     }
   }
 
-  private void vanish(EmulatedProvider provider, long length) {
+  private void vanish(EmulatedProvider provider, long duration) {
     provider.vanish();
-    world.time.after(Math.min(length, world.silentNotice()), () -> world.announce(provider));
-    world.time.after(length, () -> {
+    simulation.time.after(Math.min(duration, simulation.silentNotice()), () -> simulation.announce(provider));
+    simulation.time.after(duration, () -> {
       provider.start();
-      world.announce(provider);
+      simulation.announce(provider);
     });
   }
 
-  /** A rolling deploy: so large a part of the fleet at once drains, stops and starts again, cold. */
-  private void deploy(List<EmulatedProvider> providers, long length, double part) {
-    int batch = (int) Math.max(1, Math.round(part * world.providers().size()));
-    int batches = (providers.size() + batch - 1) / batch;
-    long step = length / Math.max(1, batches);
+  /** A rolling deploy: batches of providers, each a share of the whole fleet, drain, stop and restart cold. */
+  private void deploy(List<EmulatedProvider> providers, long duration, double batchShare) {
+    int batchSize = (int) Math.max(1, Math.round(batchShare * simulation.providers().size()));
+    int batches = (providers.size() + batchSize - 1) / batchSize;
+    long step = duration / Math.max(1, batches);
     for (int i = 0; i < providers.size(); i++) {
       EmulatedProvider provider = providers.get(i);
-      world.time.after(i / batch * step, () -> {
+      simulation.time.after(i / batchSize * step, () -> {
         provider.drain(Math.max(1, step * 2 / 3), () -> {
-          world.announce(provider);
-          world.time.after(Math.max(1, step / 6), () -> {
+          simulation.announce(provider);
+          simulation.time.after(Math.max(1, step / 6), () -> {
             provider.start();
-            world.announce(provider);
+            simulation.announce(provider);
           });
         });
-        world.announce(provider);
+        simulation.announce(provider);
       });
     }
   }
 
-  /** One after the other providers drain, each for so long, and stay away. */
-  private void shrink(List<EmulatedProvider> providers, long length, long drains) {
+  /** Providers drain one after the other, each for {@code drainMicros}, and do not return. */
+  private void shrink(List<EmulatedProvider> providers, long duration, long drainMicros) {
     for (int i = 0; i < providers.size(); i++) {
       EmulatedProvider provider = providers.get(i);
-      world.time.after(length * i / providers.size(), () -> {
-        provider.drain(Math.max(1, drains), () -> world.announce(provider));
-        world.announce(provider);
+      simulation.time.after(duration * i / providers.size(), () -> {
+        provider.drain(Math.max(1, drainMicros), () -> simulation.announce(provider));
+        simulation.announce(provider);
       });
     }
   }
 
-  /** Planned restarts of proxies, one after the other. */
+  /** Restarts the proxies one after the other, from this index on. */
   private void restart(List<EmulatedProxy> proxies, int index) {
     if (index >= proxies.size()) {
       return;
     }
     EmulatedProxy proxy = proxies.get(index);
-    world.time.after(chance.between(200_000, 400_000), () -> world.admit(proxy, false));
-    boolean[] gone = new boolean[1];
-    Runnable next = () -> {
-      if (!gone[0]) {
-        gone[0] = true;
-        world.time.after(RESTART, () -> {
-          world.startProxy(proxy);
-          world.admit(proxy, true);
+    simulation.time.after(random.between(200_000, 400_000), () -> simulation.admit(proxy, false));
+    boolean[] stopped = new boolean[1];
+    Runnable startNext = () -> {
+      if (!stopped[0]) {
+        stopped[0] = true;
+        simulation.time.after(RESTART_MICROS, () -> {
+          simulation.startProxy(proxy);
+          simulation.admit(proxy, true);
           restart(proxies, index + 1);
         });
       }
     };
-    proxy.stop(next);
-    world.time.after(KILL, next);
+    proxy.stop(startNext);
+    simulation.time.after(KILL_TIMEOUT_MICROS, startNext);
   }
 }
--- a/lab/src/main/java/amberhoist/lab/emulator/Figures.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/Figures.java
@@ -5,103 +5,110 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** What is counted of one world, from the end of its warm-up on. */
+/**
+ * Collects the figures of one run. Service and the counts of clients leave out the experiment's warm-up; service in
+ * each second, violations, attempts and the counts of proxies and providers include it.
+ */
 public final class Figures {
-  private static final long LONGEST = 600_000_000;
+  private static final long MAX_SETUP_MICROS = 600_000_000;
 
-  private final World world;
+  private final World simulation;
   private final Experiment experiment;
-  private final double[] wantedByType;
-  private final double[] goodByType;
+  private final double[] wantedByClass;
+  private final double[] inTimeByClass;
   private final double[] wantedByTenant;
-  private final double[] goodByTenant;
-  private final Histogram[] setups;
-  private final double[] goodBySecond;
+  private final double[] inTimeByTenant;
+  private final Histogram[] setupsByClass;
+  private final double[] inTimeBySecond;
   private final double[] wantedBySecond;
-  private final Histogram allSetups = new Histogram(LONGEST, 3);
-  private long asked;
-  private long served;
-  private long rejected;
-  private long cutOff;
-  private long movedAway;
-  long moves;
-  long dropped;
-  double coldPeak;
-
-  Figures(World world, int seconds) {
-    this.world = world;
-    experiment = world.experiment;
-    wantedByType = new double[experiment.classes().size()];
-    goodByType = new double[experiment.classes().size()];
+  private final Histogram allSetups = new Histogram(MAX_SETUP_MICROS, 3);
+  private long askedCount;
+  private long servedCount;
+  private long rejectedCount;
+  private long cutOffCount;
+  private long movedCount;
+  long moves; // MOVE sent by proxies
+  long dropped; // connections dropped by overloaded providers
+  double coldPeak; // max attempts at a cold provider within its window, over the checker's bound
+
+  Figures(World simulation, int seconds) {
+    this.simulation = simulation;
+    experiment = simulation.experiment;
+    wantedByClass = new double[experiment.classes().size()];
+    inTimeByClass = new double[experiment.classes().size()];
     wantedByTenant = new double[experiment.tenants().size()];
-    goodByTenant = new double[experiment.tenants().size()];
-    setups = new Histogram[experiment.classes().size()];
-    for (int i = 0; i < setups.length; i++) {
-      setups[i] = new Histogram(LONGEST, 3);
+    inTimeByTenant = new double[experiment.tenants().size()];
+    setupsByClass = new Histogram[experiment.classes().size()];
+    for (int i = 0; i < setupsByClass.length; i++) {
+      setupsByClass[i] = new Histogram(MAX_SETUP_MICROS, 3);
     }
-    goodBySecond = new double[seconds + 1];
+    inTimeBySecond = new double[seconds + 1];
     wantedBySecond = new double[seconds + 1];
   }
 
-  private boolean counts() {
-    return world.time.now() >= world.countsFrom();
+  private boolean isMeasuring() {
+    return simulation.time.now() >= simulation.countsFrom();
   }
 
-  private int second(long time) {
-    return (int) Math.min(goodBySecond.length - 1, Math.max(0, (time - World.START) / 1_000_000));
+  private int secondIndex(long time) {
+    return (int) Math.min(inTimeBySecond.length - 1, Math.max(0, (time - World.START) / 1_000_000));
   }
 
-  /** A client wanted its connection from then until now. */
+  /** Adds the value of a connection that a client wanted between these times. */
   void wanted(EmulatedClient client, long from, long until) {
-    long counted = Math.max(0, until - Math.max(from, world.countsFrom()));
-    double worth = client.worth() * counted / 1e6;
-    wantedByType[client.typeIndex] += worth;
-    wantedByTenant[client.tenantIndex] += worth;
-    for (int s = second(from); s <= second(until); s++) {
-      long start = World.START + s * 1_000_000L;
-      double part = Math.min(until, start + 1_000_000) - Math.max(from, start);
-      wantedBySecond[s] += client.worth() * Math.max(0, part) / 1e6;
+    long measured = Math.max(0, until - Math.max(from, simulation.countsFrom()));
+    double value = client.worth() * measured / 1e6;
+    wantedByClass[client.typeIndex] += value;
+    wantedByTenant[client.tenantIndex] += value;
+    for (int second = secondIndex(from); second <= secondIndex(until); second++) {
+      long start = World.START + second * 1_000_000L;
+      double overlap = Math.min(until, start + 1_000_000) - Math.max(from, start);
+      wantedBySecond[second] += client.worth() * Math.max(0, overlap) / 1e6;
     }
   }
 
-  /** A message was answered in time. */
+  /** Adds a message that was answered in time; it counts as service until the client's next message. */
   void good(EmulatedClient client) {
-    double worth = client.worth() * world.messagePeriod() / 1e6;
-    goodBySecond[second(world.time.now())] += worth;
-    if (counts()) {
-      goodByType[client.typeIndex] += worth;
-      goodByTenant[client.tenantIndex] += worth;
+    double value = client.worth() * simulation.messagePeriod() / 1e6;
+    inTimeBySecond[secondIndex(simulation.time.now())] += value;
+    if (isMeasuring()) {
+      inTimeByClass[client.typeIndex] += value;
+      inTimeByTenant[client.tenantIndex] += value;
     }
   }
 
+  /** Counts a client's connect. */
   void asked() {
-    asked += counts() ? 1 : 0;
+    askedCount += isMeasuring() ? 1 : 0;
   }
 
+  /** Counts a rejection or failure received by a client. */
   void rejected() {
-    rejected += counts() ? 1 : 0;
+    rejectedCount += isMeasuring() ? 1 : 0;
   }
 
+  /** Counts an established connection and its setup time in microseconds. */
   void served(EmulatedClient client, long micros) {
-    if (counts()) {
-      served++;
-      allSetups.recordValue(Math.min(LONGEST, micros));
-      setups[client.typeIndex].recordValue(Math.min(LONGEST, micros));
+    if (isMeasuring()) {
+      servedCount++;
+      allSetups.recordValue(Math.min(MAX_SETUP_MICROS, micros));
+      setupsByClass[client.typeIndex].recordValue(Math.min(MAX_SETUP_MICROS, micros));
     }
   }
 
+  /** Counts the end of a client's connection, by MOVE or otherwise. */
   void ended(boolean moved) {
-    if (counts()) {
+    if (isMeasuring()) {
       if (moved) {
-        movedAway++;
+        movedCount++;
       } else {
-        cutOff++;
+        cutOffCount++;
       }
     }
   }
 
-  private static double part(double good, double wanted) {
-    return wanted > 0 ? good / wanted : 1;
+  private static double ratio(double inTime, double wanted) {
+    return wanted > 0 ? inTime / wanted : 1;
   }
 
   private static double sum(double[] values) {
@@ -112,40 +119,40 @@
     return sum;
   }
 
-  /** Service in each second: what was answered in time over what was wanted. */
+  /** Service in each second: value answered in time over value wanted; 1 where nothing was wanted. */
   public double[] serviceBySecond() {
-    double[] service = new double[goodBySecond.length];
+    double[] service = new double[inTimeBySecond.length];
     for (int i = 0; i < service.length; i++) {
-      service[i] = part(goodBySecond[i], wantedBySecond[i]);
+      service[i] = ratio(inTimeBySecond[i], wantedBySecond[i]);
     }
     return service;
   }
 
-  /** All figures by name. */
+  /** All figures by name, in the order of reports. */
   Map<String, Double> all(Checker checker, long calls) {
     Map<String, Double> all = new LinkedHashMap<>();
-    all.put("service", part(sum(goodByType), sum(wantedByType)));
-    for (int i = 0; i < wantedByType.length; i++) {
-      all.put("service." + experiment.classes().get(i).name(), part(goodByType[i], wantedByType[i]));
+    all.put("service", ratio(sum(inTimeByClass), sum(wantedByClass)));
+    for (int i = 0; i < wantedByClass.length; i++) {
+      all.put("service." + experiment.classes().get(i).name(), ratio(inTimeByClass[i], wantedByClass[i]));
     }
     for (int i = 0; i < wantedByTenant.length; i++) {
-      all.put("tenant." + experiment.tenants().get(i).name(), part(goodByTenant[i], wantedByTenant[i]));
+      all.put("tenant." + experiment.tenants().get(i).name(), ratio(inTimeByTenant[i], wantedByTenant[i]));
     }
     all.put("violations", (double) checker.count());
-    all.put("asked", (double) asked);
-    all.put("served", (double) served);
-    all.put("rejected", (double) rejected);
-    all.put("cut_off", (double) cutOff);
-    all.put("moved", (double) movedAway);
+    all.put("asked", (double) askedCount);
+    all.put("served", (double) servedCount);
+    all.put("rejected", (double) rejectedCount);
+    all.put("cut_off", (double) cutOffCount);
+    all.put("moved", (double) movedCount);
     all.put("moves_by_proxies", (double) moves);
     all.put("dropped_by_providers", (double) dropped);
     all.put("calls", (double) calls);
-    all.put("calls_per_invocation", asked == 0 ? 0 : (double) calls / Math.max(1, world.invocations()));
+    all.put("calls_per_invocation", askedCount == 0 ? 0 : (double) calls / Math.max(1, simulation.invocations()));
     all.put("cold_peak", coldPeak);
     all.put("setup_p50_ms", allSetups.getValueAtPercentile(50) / 1000.0);
     all.put("setup_p99_ms", allSetups.getValueAtPercentile(99) / 1000.0);
-    for (int i = 0; i < setups.length; i++) {
-      all.put("setup_p99_ms." + experiment.classes().get(i).name(), setups[i].getValueAtPercentile(99) / 1000.0);
+    for (int i = 0; i < setupsByClass.length; i++) {
+      all.put("setup_p99_ms." + experiment.classes().get(i).name(), setupsByClass[i].getValueAtPercentile(99) / 1000.0);
     }
     return all;
   }
--- a/lab/src/main/java/amberhoist/lab/emulator/MonotonicClock.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/MonotonicClock.java
@@ -5,13 +5,13 @@
 import java.time.ZoneId;
 import java.time.ZoneOffset;
 
-/** The virtual time as a clock of the JDK. */
+/** A {@link Clock} that reads the virtual time, in milliseconds; its zone is always UTC. */
 public final class MonotonicClock extends Clock {
-  private static final long MILLI = 1_000;
+  private static final long MICROS_PER_MILLI = 1_000;
 
   private final VirtualTime time;
 
-  /** A clock that reads this time. */
+  /** Creates a clock over this virtual time. */
   public MonotonicClock(VirtualTime time) {
     this.time = time;
   }
@@ -33,6 +33,6 @@
 
   @Override
   public long millis() {
-    return time.now() / MILLI;
+    return time.now() / MICROS_PER_MILLI;
   }
 }
--- a/lab/src/main/java/amberhoist/lab/emulator/Mutant.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/Mutant.java
@@ -1,37 +1,37 @@
 package amberhoist.lab.emulator;
 
-/** Defects that are built into proxies on purpose, each of which the checker must see. */
+/** Deliberate defects of proxies. {@link Checker} must detect each of them. */
 public enum Mutant {
-  /** The proxy as it is. */
+  /** No defect. */
   NONE,
-  /** A rejection is said twice. */
+  /** Sends each rejection twice. */
   ANSWERS_TWICE,
-  /** A rejection follows UP. */
+  /** Sends a rejection after UP. */
   REJECTS_AFTER_UP,
-  /** Rejections are never said. */
+  /** Does not send rejections. */
   FORGETS_REJECTIONS,
-  /** Rejections are said when the client has given up. */
+  /** Sends rejections after the client's deadline. */
   REJECTS_TOO_LATE,
-  /** UP is never passed on. */
+  /** Does not forward UP to the client. */
   FORGETS_UP,
-  /** Every tenth client is forgotten. */
+  /** Ignores every client connection whose id is divisible by ten. */
   FORGETS_CLIENTS,
-  /** A first line goes to two providers. */
+  /** Sends each open request twice. */
   CALLS_TWO,
-  /** A call that is given up stays out. */
+  /** Does not close abandoned attempts. */
   KEEPS_CALLS,
-  /** Draining providers are called where there are any. */
+  /** Starts attempts on a draining provider, if there is one. */
   CALLS_DRAINING,
-  /** News of the directory is not heard. */
+  /** Ignores directory updates. */
   HEARS_NO_NEWS,
-  /** Cold providers are called where there are any. */
+  /** Starts attempts on a cold provider, if there is one. */
   SWAMPS_COLD,
-  /** Each proxy takes all that a cold provider bears for its own part. */
+  /** Uses a cold provider's whole warm-up budget in each proxy, in place of the proxy's part. */
   RAMPS_AS_IF_ALONE,
-  /** Silence of providers goes unnoticed. */
+  /** Does not detect silent providers. */
   MISSES_SILENCE,
-  /** The end of a provider's connection is not passed on. */
+  /** Does not close the client's connection when the provider's ends. */
   KEEPS_CLIENTS,
-  /** A stop cuts clients off in place of moving them. */
+  /** Closes client connections at a stop without moving them. */
   CUTS_AT_STOP
 }
--- a/lab/src/main/java/amberhoist/lab/emulator/RandomBalancer.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/RandomBalancer.java
@@ -8,27 +8,27 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** Any ready provider, again on failure while attempts are left: a floor to measure the module from. */
+/** Baseline for comparisons: picks any ready server at random, and retries on failure while attempts are left. */
 final class RandomBalancer implements Balancer {
-  private static final long LEAST = 1000; // micros that a call needs at least
+  private static final long MIN_ATTEMPT_MICROS = 1000; // no attempt starts with less time left
 
   private final Map<String, Server> ready = new TreeMap<>();
-  private final Map<Long, Request> owed = new HashMap<>();
+  private final Map<Long, Request> unanswered = new HashMap<>();
   private SplittableRandom random = new SplittableRandom(0);
   private Settings settings;
   private Actions actions;
-  private boolean closing;
+  private boolean stopped;
 
   @Override
-  public void start(long now, Settings theSettings, long seed, Actions theActions) {
-    settings = theSettings;
-    actions = theActions;
+  public void start(long now, Settings newSettings, long seed, Actions newActions) {
+    settings = newSettings;
+    actions = newActions;
     random = new SplittableRandom(seed);
   }
 
   @Override
-  public void configure(long now, Settings others) {
-    settings = others;
+  public void configure(long now, Settings newSettings) {
+    settings = newSettings;
   }
 
   @Override
@@ -47,67 +47,68 @@
 
   @Override
   public void onHandover(long now, Request request, String server) {
-    // it stands, and nothing is owed for it
+    // the connection exists; there is no request to answer
   }
 
   @Override
   public void onRequest(long now, Request request) {
-    owed.put(request.id(), request);
-    call(now, request, 0);
+    unanswered.put(request.id(), request);
+    startAttempt(now, request, 0);
   }
 
-  private void call(long now, Request request, int attempts) {
-    long left = request.deadline() - now;
-    if (closing || ready.isEmpty() || attempts >= settings.maxAttempts() || left < LEAST) {
-      owed.remove(request.id());
+  private void startAttempt(long now, Request request, int attempt) {
+    long remaining = request.deadline() - now;
+    if (stopped || ready.isEmpty() || attempt >= settings.maxAttempts() || remaining < MIN_ATTEMPT_MICROS) {
+      unanswered.remove(request.id());
       actions.reject(request.id(), settings.maxRetryAfterMicros());
       return;
     }
     List<String> names = new ArrayList<>(ready.keySet());
-    actions.startAttempt(request.id(), names.get(random.nextInt(names.size())), left - LEAST / 2);
+    actions.startAttempt(request.id(), names.get(random.nextInt(names.size())), remaining - MIN_ATTEMPT_MICROS / 2);
   }
 
   @Override
-  public void onEstablished(long now, long request, int attempt, long latency) {
-    owed.remove(request);
+  public void onEstablished(long now, long requestId, int attempt, long latencyMicros) {
+    unanswered.remove(requestId);
   }
 
   @Override
-  public void onAttemptEnded(long now, long request, int attempt, Outcome outcome, long latency, boolean closed) {
-    Request it = owed.get(request);
-    if (!closed && it != null) {
-      call(now, it, attempt + 1);
+  public void onAttemptEnded(long now, long requestId, int attempt, Outcome outcome, long latencyMicros,
+      boolean clientClosed) {
+    Request request = unanswered.get(requestId);
+    if (!clientClosed && request != null) {
+      startAttempt(now, request, attempt + 1);
     }
   }
 
   @Override
-  public void onLoad(long now, long request, int attempt, double load) {
-    // it places without regard to loads
+  public void onLoad(long now, long requestId, int attempt, double load) {
+    // loads are ignored
   }
 
   @Override
-  public void onQueueingDelay(long now, long request, int attempt, double micros) {
-    // nor to delays
+  public void onQueueingDelay(long now, long requestId, int attempt, double delayMicros) {
+    // queueing delays are ignored
   }
 
   @Override
-  public void onLoadReport(long now, String server, double heat) {
-    // it asks for none
+  public void onLoadReport(long now, String server, double utilization) {
+    // none is requested
   }
 
   @Override
-  public boolean shouldSend(long now, long request) {
+  public boolean shouldSend(long now, long requestId) {
     return true;
   }
 
   @Override
   public void stopAttempts(long now) {
-    closing = true;
+    stopped = true;
   }
 
   @Override
-  public void onClientDisconnected(long now, long request) {
-    owed.remove(request);
+  public void onClientDisconnected(long now, long requestId) {
+    unanswered.remove(requestId);
   }
 
   @Override
@@ -117,7 +118,7 @@
   public void resume(long now, String server) {}
 
   @Override
-  public void restoreAffinity(long now, Map<String, String> clients) {}
+  public void restoreAffinity(long now, Map<String, String> serversByClient) {}
 
   @Override
   public boolean isExcluded(long now, String server) {
@@ -126,6 +127,6 @@
 
   @Override
   public void onTimer(long now, long token) {
-    // it asks for none
+    // none is scheduled
   }
 }
--- a/lab/src/main/java/amberhoist/lab/emulator/VirtualTime.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/VirtualTime.java
@@ -3,62 +3,62 @@
 import java.util.PriorityQueue;
 
 /**
- * A clock that stands still until the next event. Events of the same time run in the order in which they were asked
- * for, so that a run is the same wherever it runs.
+ * Virtual clock and event queue of a simulation, in microseconds. The clock advances only from event to event. Events
+ * at the same time run in the order in which they were scheduled, so that runs are reproducible on any machine.
  */
 public final class VirtualTime {
   private static final class Event implements Comparable<Event> {
-    final long at;
+    final long time;
     final long order;
     final Runnable task;
 
-    Event(long at, long order, Runnable task) {
-      this.at = at;
+    Event(long time, long order, Runnable task) {
+      this.time = time;
       this.order = order;
       this.task = task;
     }
 
     @Override
     public int compareTo(Event other) {
-      return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+      return time != other.time ? Long.compare(time, other.time) : Long.compare(order, other.order);
     }
   }
 
   private final PriorityQueue<Event> events = new PriorityQueue<>(1 << 12);
   private long now;
-  private long order;
+  private long nextOrder;
   private long handled;
 
-  /** A clock that begins at this time, in microseconds. */
+  /** Creates a clock that starts at this time, in microseconds. */
   public VirtualTime(long start) {
     now = start;
   }
 
-  /** The time now. */
+  /** The current time in microseconds. */
   public long now() {
     return now;
   }
 
-  /** How many events have been handled. */
+  /** The number of events handled. */
   public long handled() {
     return handled;
   }
 
-  /** Runs this at that time, or now where it has passed. */
+  /** Schedules a task for this time, or for the current time if this one has passed. */
   public void at(long time, Runnable task) {
-    events.add(new Event(Math.max(now, time), order++, task));
+    events.add(new Event(Math.max(now, time), nextOrder++, task));
   }
 
-  /** Runs this so many microseconds from now. */
+  /** Schedules a task after this delay in microseconds. */
   public void after(long micros, Runnable task) {
     at(now + micros, task);
   }
 
-  /** Handles all events up to this time. */
+  /** Handles all events up to and including this time, and sets the clock to it. */
   public void runUntil(long end) {
-    for (Event next = events.peek(); next != null && next.at <= end; next = events.peek()) {
+    for (Event next = events.peek(); next != null && next.time <= end; next = events.peek()) {
       events.poll();
-      now = next.at;
+      now = next.time;
       handled++;
       next.task.run();
     }
--- a/lab/src/main/java/amberhoist/lab/emulator/Visit.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/Visit.java
@@ -2,21 +2,21 @@
 
 import amberhoist.core.SlotTable;
 
-/** One connection of a client to a proxy, from its first line to its end. */
+/** One connection of a client to a proxy, from its open request to its end. */
 final class Visit {
   final EmulatedClient client;
   final EmulatedProxy proxy;
-  final int life; // of the proxy: a proxy that was restarted knows nothing of it
-  final long sentAt;
+  final int life; // the proxy's incarnation; a restart ends the session
+  final long sentAt; // when the client started to connect
   final long deadline;
-  long number;
-  long invocation = SlotTable.NONE;
-  Attempt joined;
-  int out; // attempts that have been sent and not been given up or answered
-  int calls;
-  int answers;
-  boolean closed;
-  boolean gaveUp;
+  long number; // its id in the proxy's table of connections
+  long invocation = SlotTable.NONE; // its id in the core
+  Attempt joined; // the attempt whose connection is relayed; null before UP
+  int out; // attempts in flight: sent, neither answered nor abandoned
+  int calls; // attempts sent
+  int answers; // final answers from the proxy
+  boolean closed; // at the proxy
+  boolean gaveUp; // closed by the client
 
   Visit(EmulatedClient client, EmulatedProxy proxy, long sentAt, long deadline) {
     this.client = client;
