--- a/lab/src/main/java/amberhoist/lab/experiment/ExperimentFile.java
+++ b/lab/src/main/java/amberhoist/lab/experiment/ExperimentFile.java
@@ -18,103 +18,104 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads experiments, with the same checks as the operator's file. */
+/** Reads experiment files, with the same validation as the operator's file. */
 public final class ExperimentFile {
-  /** All keys of an experiment. */
+  /** All keys of an experiment file. */
   public static final Schema<Experiment> SCHEMA = new Schema<>(Experiment.class, Experiment.DEFAULT);
 
   private ExperimentFile() {}
 
-  /** Reads files for a command; all that is wrong with any of them is told, and the list is then empty. */
+  /** Reads files for a command. If any has problems, prints all problems and returns an empty list: nothing runs. */
   public static List<Experiment> readOrTell(List<Path> files, PrintStream err) {
     List<Problem> problems = new ArrayList<>();
     List<Experiment> experiments = files.stream().map(file -> read(file, problems)).toList();
     problems.forEach(err::println);
-    return problems.isEmpty() ? experiments : List.of(); // nothing runs beside a bad file
+    return problems.isEmpty() ? experiments : List.of();
   }
 
-  /** Reads a file; what is wrong with it is added to the problems, and the experiment is then of no use. */
+  /** Reads a file and adds its problems to the list. If there are any, the returned experiment must not be used. */
   public static Experiment read(Path file, List<Problem> problems) {
     Map<String, Object> values = new LinkedHashMap<>();
     Map<String, Written> written = TomlSource.read(SCHEMA, file, problems);
     written.forEach((path, value) -> {
       try {
         values.put(path, SCHEMA.check(path, value));
-      } catch (IllegalArgumentException fault) {
-        problems.add(new Problem(value.where(), path, fault.getMessage()));
+      } catch (IllegalArgumentException invalid) {
+        problems.add(new Problem(value.where(), path, invalid.getMessage()));
       }
     });
     Experiment experiment = SCHEMA.bind(values);
-    contradictions(experiment).forEach((path, message) -> {
-      Written at = written.get(path);
-      problems.add(new Problem(at == null ? file.toString() : at.where(), path, message));
+    findContradictions(experiment).forEach((path, message) -> {
+      Written entry = written.get(path);
+      problems.add(new Problem(entry == null ? file.toString() : entry.where(), path, message));
     });
     return experiment;
   }
 
-  private static Map<String, String> contradictions(Experiment it) {
-    Map<String, String> found = new LinkedHashMap<>();
-    if (it.warmup().compareTo(it.length()) >= 0) {
-      found.put("warmup", "is not shorter than length");
+  /** Checks that involve several keys; returns messages by the key that they refer to. */
+  private static Map<String, String> findContradictions(Experiment experiment) {
+    Map<String, String> messagesByKey = new LinkedHashMap<>();
+    if (experiment.warmup().compareTo(experiment.length()) >= 0) {
+      messagesByKey.put("warmup", "is not shorter than length");
     }
-    if (!it.quick().isZero() && it.warmup().compareTo(it.quick()) >= 0) {
-      found.put("quick", "is not longer than warmup");
+    if (!experiment.quick().isZero() && experiment.warmup().compareTo(experiment.quick()) >= 0) {
+      messagesByKey.put("quick", "is not longer than warmup");
     }
-    if (it.fleet().zones().isEmpty()) {
-      found.put("fleet.zones", "names no zone");
+    if (experiment.fleet().zones().isEmpty()) {
+      messagesByKey.put("fleet.zones", "must name at least one zone");
     }
-    if (it.seeds().isEmpty()) {
-      found.put("seeds", "names no seed");
+    if (experiment.seeds().isEmpty()) {
+      messagesByKey.put("seeds", "must name at least one seed");
     }
-    if (it.clients().rejoinLeast().compareTo(it.clients().rejoinMost()) > 0) {
-      found.put("clients.rejoin_least", "is longer than clients.rejoin_most");
+    if (experiment.clients().rejoinLeast().compareTo(experiment.clients().rejoinMost()) > 0) {
+      messagesByKey.put("clients.rejoin_least", "is longer than clients.rejoin_most");
     }
-    if (it.directory().lateLeast().compareTo(it.directory().lateMost()) > 0) {
-      found.put("directory.late_least", "is longer than directory.late_most");
+    if (experiment.directory().lateLeast().compareTo(experiment.directory().lateMost()) > 0) {
+      messagesByKey.put("directory.late_least", "is longer than directory.late_most");
     }
-    if (it.clients().honour() + it.clients().atOnce() > 1) {
-      found.put("clients.at_once", "and clients.honour are more than all clients together");
+    if (experiment.clients().honour() + experiment.clients().atOnce() > 1) {
+      messagesByKey.put("clients.at_once", "and clients.honour add up to more than 1");
     }
-    Set<String> names = new HashSet<>();
-    for (int i = 0; i < it.variants().size(); i++) {
-      Variant variant = it.variants().get(i);
-      if (!names.add(variant.name())) {
-        found.put("variants." + i + ".name", "is used twice: " + variant.name());
+    Set<String> variantNames = new HashSet<>();
+    for (int i = 0; i < experiment.variants().size(); i++) {
+      Variant variant = experiment.variants().get(i);
+      if (!variantNames.add(variant.name())) {
+        messagesByKey.put("variants." + i + ".name", "duplicate name: " + variant.name());
       }
       for (Problem problem : keys(variant).problems()) {
-        found.put("variants." + i + ".set", problem.key() + ": " + problem.message());
+        messagesByKey.put("variants." + i + ".set", problem.key() + ": " + problem.message());
       }
     }
-    for (int i = 0; i < it.claims().size(); i++) {
-      Claim claim = it.claims().get(i);
+    for (int i = 0; i < experiment.claims().size(); i++) {
+      Claim claim = experiment.claims().get(i);
       for (String variant : List.of(claim.variant(), claim.over())) {
-        if (!variant.isEmpty() && !names.contains(variant)) {
-          found.put("claims." + i + ".variant", "names no variant: " + variant);
+        if (!variant.isEmpty() && !variantNames.contains(variant)) {
+          messagesByKey.put("claims." + i + ".variant", "names no variant: " + variant);
         }
       }
       if (claim.least() > claim.most()) {
-        found.put("claims." + i + ".least", "is more than most");
+        messagesByKey.put("claims." + i + ".least", "is more than most");
       }
     }
-    return found;
+    return messagesByKey;
   }
 
-  /** The reference page of experiments. */
+  /** The reference page of experiment files. */
   public static String page() {
     return """
         # Experiments
 
-        Made by `bin/amberhoist lab reference`; a test fails when it is stale.
+        Generated by `bin/amberhoist lab reference`; a test fails when this page is out of date.
 
         An experiment is a TOML file, such as those under `lab/experiments/`; `bin/amberhoist lab run FILE...` runs it.
-        Units stand in the value, as in the operator's file. An array such as `[[classes]]` that is missing has one
+        Values include their units, as in the operator's file. If an array such as `[[classes]]` is missing, it has one
         element with the defaults below.
 
-        ## Top
+        ## Top-level keys
         """ + SCHEMA.reference().replace("| SIGHUP |", "| |");
   }
 
-  /** The operator's keys as a variant has them. */
+  /** The operator's settings with a variant's changes; the result holds any problems with them. */
   public static Reading keys(Variant variant) {
     Map<String, String> flags = new LinkedHashMap<>();
     List<Problem> problems = new ArrayList<>();
