--- a/lab/src/main/java/amberhoist/lab/run/Charts.java
+++ b/lab/src/main/java/amberhoist/lab/run/Charts.java
@@ -16,11 +16,11 @@
 import org.knowm.xchart.style.Styler.LegendPosition;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Draws the time line of an experiment: service in each second, the mean over seeds, with the faults beneath. */
+/** Draws the service of an experiment's variants in each second, averaged over the seeds, above bars for the faults. */
 final class Charts {
   private static final Color[] COLOURS = {new Color(0x1f77b4), new Color(0xd62728), new Color(0x2ca02c),
       new Color(0x9467bd), new Color(0x8c564b)};
-  private static final Color BAND = new Color(0x555555);
+  private static final Color FAULT_COLOUR = new Color(0x555555);
 
   private Charts() {}
 
@@ -31,7 +31,7 @@
     chart.getStyler().setChartBackgroundColor(Color.WHITE);
     chart.getStyler().setYAxisMin(0.0);
     chart.getStyler().setYAxisMax(1.1);
-    int colour = 0;
+    int colourIndex = 0;
     for (var variant : runs.byVariant().entrySet()) {
       double[] mean = mean(variant.getValue());
       double[] seconds = new double[mean.length];
@@ -39,21 +39,23 @@
         seconds[i] = i;
       }
       XYSeries series = chart.addSeries(variant.getKey(), seconds, mean);
-      series.setMarker(SeriesMarkers.NONE).setLineColor(COLOURS[colour++ % COLOURS.length]).setLineWidth(1.6f);
+      series.setMarker(SeriesMarkers.NONE).setLineColor(COLOURS[colourIndex++ % COLOURS.length]).setLineWidth(1.6f);
     }
-    int number = 0;
+    int faultNumber = 0;
     for (Fault fault : runs.experiment().faults()) {
       double from = fault.at().toMillis() / 1000.0;
       double to = from + Math.max(0.5, fault.length().toMillis() / 1000.0);
-      double height = 0.02 + 0.035 * (number % 4);
+      double height = 0.02 + 0.035 * (faultNumber % 4);
       String name = fault.kind().name().toLowerCase(Locale.ROOT);
-      XYSeries band = chart.addSeries(name + ' ' + ++number, new double[] {from, to}, new double[] {height, height});
-      band.setMarker(SeriesMarkers.NONE).setLineColor(BAND).setLineWidth(5f).setShowInLegend(false);
+      XYSeries band =
+          chart.addSeries(name + ' ' + ++faultNumber, new double[] {from, to}, new double[] {height, height});
+      band.setMarker(SeriesMarkers.NONE).setLineColor(FAULT_COLOUR).setLineWidth(5f).setShowInLegend(false);
       chart.addAnnotation(new AnnotationText(name, (from + to) / 2, height + 0.03, false));
     }
     BitmapEncoder.saveBitmap(chart, png.toString(), BitmapFormat.PNG);
   }
 
+  /** Mean service in each second, capped at 1.1 in each run. */
   private static double[] mean(List<Run> runs) {
     double[] mean = new double[runs.get(0).outcome().serviceBySecond().length - 1];
     for (Run run : runs) {
--- a/lab/src/main/java/amberhoist/lab/run/Runs.java
+++ b/lab/src/main/java/amberhoist/lab/run/Runs.java
@@ -16,18 +16,18 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 
-/** All runs of an experiment: each variant on the same seeds, many at a time, each on one thread. */
+/** All runs of an experiment: each variant on the same seeds, in parallel, with one thread for each run. */
 public final class Runs {
-  /** One run. */
+  /** One run of a variant with one seed. */
   public record Run(Variant variant, long seed, Outcome outcome) {}
 
   /**
-   * A claim and what came out.
+   * A claim about one variant and its result.
    *
-   * @param value the mean over all seeds
+   * @param value the claimed figure, as the mean over all seeds; NaN if there is no such figure
    */
   public record Verdict(Claim claim, String variant, double value) {
-    /** Whether it holds; a figure that there is none of never does. */
+    /** Whether the value is within the claim's bounds; false if there is no such figure. */
     public boolean holds() {
       return value >= claim.least() && value <= claim.most();
     }
@@ -47,7 +47,10 @@
     this.experiment = experiment;
   }
 
-  /** The seeds of an experiment; a count beyond those it names counts on from the last one. */
+  /**
+   * The first {@code count} seeds of an experiment, or all of them for a count of 0. A higher count than it has
+   * continues upwards from its last seed.
+   */
   public static List<Long> seeds(Experiment experiment, int count) {
     List<Long> seeds = new ArrayList<>();
     for (int i = 0; i < (count > 0 ? count : experiment.seeds().size()); i++) {
@@ -57,59 +60,66 @@
     return seeds;
   }
 
-  /** Runs all variants on so many seeds (0 for those that it names), on so many threads. */
+  /**
+   * Runs all variants on the same seeds.
+   *
+   * @param count number of seeds; 0 for those of the experiment
+   * @param quick whether to use the experiment's short length
+   * @param threads number of parallel runs
+   * @throws IllegalStateException if a run throws an exception
+   */
   public static Runs run(Experiment experiment, int count, boolean quick, int threads) throws InterruptedException {
     Runs runs = new Runs(experiment);
     ExecutorService pool = Executors.newFixedThreadPool(threads);
     try {
-      Map<String, List<Future<Run>>> started = new LinkedHashMap<>();
+      Map<String, List<Future<Run>>> runsByVariant = new LinkedHashMap<>();
       for (Variant variant : experiment.variants()) {
         for (long seed : seeds(experiment, count)) {
           Callable<Run> task = () -> new Run(variant, seed, new World(experiment, variant, seed, quick).run());
-          started.computeIfAbsent(variant.name(), any -> new ArrayList<>()).add(pool.submit(task));
+          runsByVariant.computeIfAbsent(variant.name(), any -> new ArrayList<>()).add(pool.submit(task));
         }
       }
-      for (Map.Entry<String, List<Future<Run>>> each : started.entrySet()) {
-        List<Run> done = new ArrayList<>();
-        for (Future<Run> run : each.getValue()) {
-          done.add(run.get());
+      for (Map.Entry<String, List<Future<Run>>> entry : runsByVariant.entrySet()) {
+        List<Run> finished = new ArrayList<>();
+        for (Future<Run> run : entry.getValue()) {
+          finished.add(run.get());
         }
-        runs.byVariant.put(each.getKey(), done);
+        runs.byVariant.put(entry.getKey(), finished);
       }
-    } catch (ExecutionException fault) {
-      throw new IllegalStateException("a run failed: " + fault.getCause(), fault.getCause());
+    } catch (ExecutionException failure) {
+      throw new IllegalStateException("a run failed: " + failure.getCause(), failure.getCause());
     } finally {
       pool.shutdownNow();
     }
     return runs;
   }
 
-  /** What it is of. */
+  /** The experiment that was run. */
   public Experiment experiment() {
     return experiment;
   }
 
-  /** All runs by variant, in the order of the seeds. */
+  /** All runs by variant, in the order of the experiment's variants and of the seeds. */
   public Map<String, List<Run>> byVariant() {
     return byVariant;
   }
 
-  /** The mean of a figure over all seeds, NaN where there is no such figure. */
+  /** The mean of a figure over all seeds; NaN if there is no such figure. */
   public double mean(String variant, String figure) {
-    return Arrays.stream(values(variant, figure)).average().orElse(Double.NaN);
+    return Arrays.stream(valuesBySeed(variant, figure)).average().orElse(Double.NaN);
   }
 
-  private double[] values(String variant, String figure) {
+  private double[] valuesBySeed(String variant, String figure) {
     return byVariant.get(variant).stream()
         .mapToDouble(run -> run.outcome().figures().getOrDefault(figure, Double.NaN)).toArray();
   }
 
-  /** How much more of a figure one variant has than the other, on the same seeds. */
+  /** The difference of a figure between two variants on the same seeds, the first minus the other. */
   public Difference difference(String variant, String other, String figure) {
-    return Difference.of(values(variant, figure), values(other, figure));
+    return Difference.of(valuesBySeed(variant, figure), valuesBySeed(other, figure));
   }
 
-  /** All claims judged. */
+  /** The results of all claims; a claim without a variant is evaluated for each of them. */
   public List<Verdict> verdicts() {
     List<Verdict> verdicts = new ArrayList<>();
     for (Claim claim : experiment.claims()) {
