--- a/lab/src/main/java/amberhoist/lab/emulator/EmulatedProxy.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/EmulatedProxy.java
@@ -204,7 +204,7 @@
     core.onConnectionEnded(simulation.time.now(), attempt.invocation, attempt.number, outcome);
   }
 
-  /** Counts an attempt that was sent as no longer in flight. */
+  /** Removes an attempt that was sent from those in flight; a second call does nothing. */
   private void markConcluded(Attempt attempt) {
     if (attempt.sent && !attempt.concluded) {
       attempt.concluded = true;
--- a/lab/src/main/java/amberhoist/lab/run/Runs.java
+++ b/lab/src/main/java/amberhoist/lab/run/Runs.java
@@ -48,8 +48,9 @@
   }
 
   /**
-   * The first {@code count} seeds of an experiment, or all of them for a count of 0. A higher count than it has
-   * continues upwards from its last seed.
+   * The first seeds of an experiment, continued upwards from its last one where it has too few.
+   *
+   * @param count number of seeds; 0 for those of the experiment
    */
   public static List<Long> seeds(Experiment experiment, int count) {
     List<Long> seeds = new ArrayList<>();
