--- a/lab/src/main/java/amberhoist/lab/Flood.java
+++ b/lab/src/main/java/amberhoist/lab/Flood.java
@@ -20,108 +20,122 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A flood of bad clients against a proxy process of its own: each connects, sends one line that nobody can read,
- * takes its ERR and is replaced by the next. Arrivals are open-loop: each has its intended time.
+ * Measures what logging costs under a flood of malformed requests. It starts a proxy process and sends it clients that
+ * each connect, send one invalid line and wait for ERR. Arrivals are open-loop: each client has an intended start time.
  */
 final class Flood {
-  private static final int THREADS = 6;
-  private static final int PATIENCE = 20_000; // milliseconds
+  private static final int CLIENT_THREADS = 6;
+  private static final int TIMEOUT_MILLIS = 20_000;
 
   /**
-   * What a flood cost.
+   * The result of one run.
    *
-   * @param clients that got their ERR
-   * @param seconds it took
-   * @param cpuSeconds of the proxy's process during it
-   * @param logLines and {@code logBytes} written to standard error
-   * @param suppressed lines left out over their rate
+   * @param logSettings name of the log settings that were measured
+   * @param answeredClients number of clients that received ERR
+   * @param seconds duration of the run
+   * @param cpuSeconds processor time of the proxy process during the run
+   * @param logLines lines written to standard error
+   * @param logBytes bytes written to standard error
+   * @param suppressedLines log lines suppressed by the rate limit
    */
-  record Cost(String log, int clients, double seconds, double cpuSeconds, long logLines, long logBytes,
-      long suppressed) {
+  record Cost(String logSettings, int answeredClients, double seconds, double cpuSeconds, long logLines, long logBytes,
+      long suppressedLines) {
     static String header() {
       return "| log | clients | clients/s | CPU s | CPU us/client | log lines | log bytes | suppressed |\n"
           + "| --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: |";
     }
 
     String row() {
-      return String.format("| %s | %d | %.0f | %.2f | %.1f | %d | %d | %d |", log, clients, clients / seconds,
-          cpuSeconds, 1e6 * cpuSeconds / Math.max(1, clients), logLines, logBytes, suppressed);
+      return String.format("| %s | %d | %.0f | %.2f | %.1f | %d | %d | %d |", logSettings, answeredClients,
+          answeredClients / seconds, cpuSeconds, 1e6 * cpuSeconds / Math.max(1, answeredClients), logLines, logBytes,
+          suppressedLines);
     }
   }
 
-  private final Path platform;
-  private final int perSecond;
-  private final int total;
+  private final Path platformFile;
+  private final int clientsPerSecond;
+  private final int clientsPerRun;
 
-  /** A flood of so many clients a second, for so long, against a proxy with this platform's JSON. */
-  Flood(Path platform, int perSecond, int seconds) {
-    this.platform = platform;
-    this.perSecond = perSecond;
-    total = perSecond * seconds;
+  /**
+   * Prepares a flood.
+   *
+   * @param platformFile file with the platform's JSON, for the proxy
+   * @param clientsPerSecond rate of clients
+   * @param seconds duration of each run
+   */
+  Flood(Path platformFile, int clientsPerSecond, int seconds) {
+    this.platformFile = platformFile;
+    this.clientsPerSecond = clientsPerSecond;
+    clientsPerRun = clientsPerSecond * seconds;
   }
 
-  /** Floods a proxy whose log is as these keys say. */
-  Cost run(String name, List<String> keys) throws IOException, InterruptedException {
+  /**
+   * Starts a proxy, floods it and stops it.
+   *
+   * @param logSettings name of the log settings, for the report
+   * @param settings settings of the proxy, each as {@code key=value}
+   */
+  Cost run(String logSettings, List<String> settings) throws IOException, InterruptedException {
     Path folder = Files.createTempDirectory("amberhoist-flood");
     Path socket = folder.resolve("admin.sock");
     List<String> command = new ArrayList<>(List.of(
         Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx32m", "-XX:+UseSerialGC",
         "-XX:TieredStopAtLevel=1", "--add-opens", "java.base/sun.nio.ch=ALL-UNNAMED", "-cp",
-        System.getProperty("java.class.path"), "amberhoist.cli.Main", "serve", "--platform", platform.toString(),
+        System.getProperty("java.class.path"), "amberhoist.cli.Main", "serve", "--platform", platformFile.toString(),
         "--listen", "127.0.0.1:0", "--directory", "127.0.0.1:1", "--set", "admin.listen=unix:" + socket));
-    keys.forEach(key -> command.addAll(List.of("--set", key)));
+    settings.forEach(setting -> command.addAll(List.of("--set", setting)));
     Process process = new ProcessBuilder(command).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
-    AtomicLong lines = new AtomicLong();
-    AtomicLong bytes = new AtomicLong();
-    Thread reader = new Thread(() -> count(process.getErrorStream(), lines, bytes), "log reader");
-    reader.start();
+    AtomicLong logLines = new AtomicLong();
+    AtomicLong logBytes = new AtomicLong();
+    Thread logReader = new Thread(() -> countLogOutput(process.getErrorStream(), logLines, logBytes), "log reader");
+    logReader.start();
     try {
-      JsonNode status = status(process, socket);
+      JsonNode status = awaitStatus(process, socket);
       String listen = status.path("listen").asText();
       int port = Integer.parseInt(listen.substring(listen.lastIndexOf(':') + 1));
-      burst(port, 2000); // warm
-      long linesBefore = lines.get();
-      long bytesBefore = bytes.get();
-      Duration before = process.info().totalCpuDuration().orElse(Duration.ZERO);
+      sendClients(port, 2000); // warms up the proxy
+      long linesBefore = logLines.get();
+      long bytesBefore = logBytes.get();
+      Duration cpuBefore = process.info().totalCpuDuration().orElse(Duration.ZERO);
       long start = System.nanoTime();
-      int served = burst(port, total);
+      int answered = sendClients(port, clientsPerRun);
       double seconds = (System.nanoTime() - start) / 1e9;
-      Duration after = process.info().totalCpuDuration().orElse(Duration.ZERO);
-      long suppressed = status(process, socket).path("log").path("suppressed").asLong();
-      return new Cost(name, served, seconds, after.minus(before).toNanos() / 1e9, lines.get() - linesBefore,
-          bytes.get() - bytesBefore, suppressed);
+      Duration cpuAfter = process.info().totalCpuDuration().orElse(Duration.ZERO);
+      long suppressed = awaitStatus(process, socket).path("log").path("suppressed").asLong();
+      return new Cost(logSettings, answered, seconds, cpuAfter.minus(cpuBefore).toNanos() / 1e9,
+          logLines.get() - linesBefore, logBytes.get() - bytesBefore, suppressed);
     } finally {
       process.destroyForcibly();
       process.waitFor();
-      reader.join();
+      logReader.join();
       Files.deleteIfExists(socket);
       Files.delete(folder);
     }
   }
 
-  private static void count(InputStream in, AtomicLong lines, AtomicLong bytes) {
+  private static void countLogOutput(InputStream in, AtomicLong lines, AtomicLong bytes) {
     byte[] buffer = new byte[8192];
     try (in) {
-      for (int got = in.read(buffer); got >= 0; got = in.read(buffer)) {
-        bytes.addAndGet(got);
-        for (int i = 0; i < got; i++) {
+      for (int length = in.read(buffer); length >= 0; length = in.read(buffer)) {
+        bytes.addAndGet(length);
+        for (int i = 0; i < length; i++) {
           if (buffer[i] == '\n') {
             lines.incrementAndGet();
           }
         }
       }
-    } catch (IOException ended) {
-      // the process has been ended
+    } catch (IOException processEnded) {
+      // the process was stopped
     }
   }
 
-  private static JsonNode status(Process process, Path socket) throws IOException {
-    long end = System.nanoTime() + PATIENCE * 1_000_000L;
+  private static JsonNode awaitStatus(Process process, Path socket) throws IOException {
+    long deadline = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
     while (true) {
       try {
         return new ObjectMapper().readTree(AdminClient.get(UnixDomainSocketAddress.of(socket), "/status"));
       } catch (IOException notYet) {
-        if (!process.isAlive() || System.nanoTime() > end) {
+        if (!process.isAlive() || System.nanoTime() > deadline) {
           throw new IOException("the proxy does not answer: " + notYet.getMessage(), notYet);
         }
         LockSupport.parkNanos(10_000_000);
@@ -129,20 +143,20 @@
     }
   }
 
-  /** Sends so many clients at the rate; how many of them got their ERR. */
-  private int burst(int port, int count) throws InterruptedException {
-    AtomicInteger next = new AtomicInteger();
-    AtomicInteger served = new AtomicInteger();
+  /** Sends {@code count} clients at the configured rate and returns how many of them received ERR. */
+  private int sendClients(int port, int count) throws InterruptedException {
+    AtomicInteger nextClient = new AtomicInteger();
+    AtomicInteger answered = new AtomicInteger();
     long start = System.nanoTime();
     List<Thread> threads = new ArrayList<>();
-    for (int i = 0; i < THREADS; i++) {
+    for (int i = 0; i < CLIENT_THREADS; i++) {
       Thread thread = new Thread(() -> {
-        for (int n = next.getAndIncrement(); n < count; n = next.getAndIncrement()) {
-          long intended = start + n * 1_000_000_000L / perSecond;
-          for (long left = intended - System.nanoTime(); left > 0; left = intended - System.nanoTime()) {
-            LockSupport.parkNanos(left);
+        for (int client = nextClient.getAndIncrement(); client < count; client = nextClient.getAndIncrement()) {
+          long intended = start + client * 1_000_000_000L / clientsPerSecond;
+          for (long remaining = intended - System.nanoTime(); remaining > 0; remaining = intended - System.nanoTime()) {
+            LockSupport.parkNanos(remaining);
           }
-          served.addAndGet(bad(port) ? 1 : 0);
+          answered.addAndGet(sendMalformedRequest(port) ? 1 : 0);
         }
       }, "bad client " + i);
       threads.add(thread);
@@ -151,14 +165,14 @@
     for (Thread thread : threads) {
       thread.join();
     }
-    return served.get();
+    return answered.get();
   }
 
-  private static boolean bad(int port) {
+  private static boolean sendMalformedRequest(int port) {
     try (Socket socket = new Socket()) {
-      socket.setSoLinger(true, 0); // leave no address behind that cannot be used again for a minute
-      socket.setSoTimeout(PATIENCE);
-      socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), PATIENCE);
+      socket.setSoLinger(true, 0); // resets on close, so that no local port stays in TIME_WAIT
+      socket.setSoTimeout(TIMEOUT_MILLIS);
+      socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), TIMEOUT_MILLIS);
       socket.getOutputStream().write("NONSENSE\r\n".getBytes(StandardCharsets.ISO_8859_1));
       return socket.getInputStream().read() == 'E';
     } catch (IOException refused) {
--- a/lab/src/main/java/amberhoist/lab/FuzzCommand.java
+++ b/lab/src/main/java/amberhoist/lab/FuzzCommand.java
@@ -20,90 +20,91 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Looks for time lines of faults that break a rule. */
+/** Searches for sequences of faults under which a rule is violated. */
 @Command(name = "fuzz", description = {
-    "Plays an experiment's world under random time lines of faults until a rule breaks or the count is reached.",
-    "What breaks is shrunk to the fewest faults that still break it, and printed as [[faults]] with its seed."})
+    "Simulates an experiment under random sequences of faults until a rule is violated or all runs are done.",
+    "A sequence that violates a rule is minimized, and printed as [[faults]] with its seed."})
 final class FuzzCommand implements Callable<Integer> {
-  private static final int FAULTS_MOST = 8;
+  private static final int MAX_FAULTS = 8;
 
   @Spec
   private CommandSpec spec;
 
-  @Parameters(paramLabel = "FILE", description = "the experiment whose fleet and clients are used")
-  private Path file;
+  @Parameters(paramLabel = "FILE", description = "experiment whose fleet and clients are simulated")
+  private Path experimentFile;
 
   @Option(names = "--runs", paramLabel = "N", defaultValue = "200",
-      description = "time lines to play (default: ${DEFAULT-VALUE})")
+      description = "number of runs (default: ${DEFAULT-VALUE})")
   private int runs;
 
   @Option(names = "--from", paramLabel = "SEED", defaultValue = "1",
-      description = "first seed (default: ${DEFAULT-VALUE})")
-  private long from;
+      description = "seed of the first run (default: ${DEFAULT-VALUE})")
+  private long firstSeed;
 
   @Option(names = "--mutant", paramLabel = "DEFECT", defaultValue = "NONE",
-      description = "a defect to build in, to see the search work: ${COMPLETION-CANDIDATES}")
+      description = "defect to build in, to test the search: ${COMPLETION-CANDIDATES}")
   private Mutant mutant;
 
   @Override
   public Integer call() {
     if (runs < 1) {
-      throw new ParameterException(spec.commandLine(), "--runs: expected 1 or more, not " + runs);
+      throw new ParameterException(spec.commandLine(), "--runs: must be at least 1, but is " + runs);
     }
-    List<Experiment> read = ExperimentFile.readOrTell(List.of(file), System.err);
-    if (read.isEmpty()) {
+    List<Experiment> experiments = ExperimentFile.readOrTell(List.of(experimentFile), System.err);
+    if (experiments.isEmpty()) {
       return 1;
     }
-    Experiment experiment = read.get(0);
-    for (long seed = from; seed < from + runs; seed++) {
-      List<Fault> faults = timeLine(experiment, new Chance(seed, 77));
-      Outcome outcome = play(experiment, faults, seed);
+    Experiment experiment = experiments.get(0);
+    for (long seed = firstSeed; seed < firstSeed + runs; seed++) {
+      List<Fault> faults = randomFaults(experiment, new Chance(seed, 77));
+      Outcome outcome = run(experiment, faults, seed);
       if (!outcome.violations().isEmpty()) {
         String rule = outcome.violations().get(0).rule();
-        List<Fault> least = shrink(experiment, faults, seed, rule);
-        System.out.println("seed " + seed + " breaks: " + play(experiment, least, seed).violations().get(0));
-        System.out.println("with " + least.size() + " of " + faults.size() + " faults:");
-        least.forEach(fault -> System.out.print(toml(fault)));
+        List<Fault> minimal = minimize(experiment, faults, seed, rule);
+        System.out.println("seed " + seed + " breaks: " + run(experiment, minimal, seed).violations().get(0));
+        System.out.println("with " + minimal.size() + " of " + faults.size() + " faults:");
+        minimal.forEach(fault -> System.out.print(toToml(fault)));
         return 1;
       }
     }
-    System.out.println("no rule broken in " + runs + " time lines, seeds " + from + " to " + (from + runs - 1));
+    System.out.println("no rule broken in " + runs + " time lines, seeds " + firstSeed + " to "
+        + (firstSeed + runs - 1));
     return 0;
   }
 
-  private Outcome play(Experiment experiment, List<Fault> faults, long seed) {
+  private Outcome run(Experiment experiment, List<Fault> faults, long seed) {
     return new World(experiment.with(faults), experiment.variants().get(0), seed, false, mutant).run();
   }
 
-  private static List<Fault> timeLine(Experiment experiment, Chance chance) {
+  private static List<Fault> randomFaults(Experiment experiment, Chance random) {
     List<Fault> faults = new ArrayList<>();
     long length = experiment.length().toMillis();
-    for (int i = 1 + chance.below(FAULTS_MOST); i > 0; i--) {
-      FaultKind kind = FaultKind.values()[chance.below(FaultKind.values().length)];
-      double size = kind == FaultKind.STORE_SLOW ? 1 + 9 * chance.part() : 0.05 + 0.5 * chance.part();
-      faults.add(new Fault(Duration.ofMillis(chance.between(1000, length * 9 / 10)), kind,
-          Duration.ofMillis(chance.between(200, 30_000)), 0.05 + 0.9 * chance.part(), size));
+    for (int i = 1 + random.below(MAX_FAULTS); i > 0; i--) {
+      FaultKind kind = FaultKind.values()[random.below(FaultKind.values().length)];
+      double size = kind == FaultKind.STORE_SLOW ? 1 + 9 * random.part() : 0.05 + 0.5 * random.part();
+      faults.add(new Fault(Duration.ofMillis(random.between(1000, length * 9 / 10)), kind,
+          Duration.ofMillis(random.between(200, 30_000)), 0.05 + 0.9 * random.part(), size));
     }
     return faults;
   }
 
-  /** Leaves faults out, one at a time, as long as the same rule still breaks. */
-  private List<Fault> shrink(Experiment experiment, List<Fault> faults, long seed, String rule) {
-    List<Fault> least = new ArrayList<>(faults);
+  /** Removes each fault without which the same rule is still violated. */
+  private List<Fault> minimize(Experiment experiment, List<Fault> faults, long seed, String rule) {
+    List<Fault> minimal = new ArrayList<>(faults);
     int i = 0;
-    while (i < least.size()) {
-      List<Fault> without = new ArrayList<>(least);
-      without.remove(i);
-      if (play(experiment, without, seed).violations().stream().anyMatch(found -> found.rule().equals(rule))) {
-        least = without;
+    while (i < minimal.size()) {
+      List<Fault> candidate = new ArrayList<>(minimal);
+      candidate.remove(i);
+      if (run(experiment, candidate, seed).violations().stream().anyMatch(violation -> violation.rule().equals(rule))) {
+        minimal = candidate;
       } else {
         i++;
       }
     }
-    return least;
+    return minimal;
   }
 
-  private static String toml(Fault fault) {
+  private static String toToml(Fault fault) {
     return String.format("[[faults]]%nat = \"%dms\"%nkind = \"%s\"%nlength = \"%dms\"%nshare = %s%nsize = %s%n",
         fault.at().toMillis(), fault.kind().name().toLowerCase(java.util.Locale.ROOT), fault.length().toMillis(),
         fault.share(), fault.size());
--- a/lab/src/main/java/amberhoist/lab/GroupCommand.java
+++ b/lab/src/main/java/amberhoist/lab/GroupCommand.java
@@ -9,32 +9,35 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Plays groups of members under faults in virtual time. */
+/** Simulates groups of members under faults in virtual time. */
 @Command(name = "group", description = {
-    "Plays groups of members in virtual time: crashes, torn logs, failing disks, stopped processes, links cut one way",
-    "or both or flapping, and operators who change the policy at once. Ends with 1 when a rule breaks."})
+    "Simulates groups of members in virtual time, with crashes, torn log writes, failing disks, suspended processes,",
+    "links that are cut in one or both directions or flap, and concurrent changes of the policy.",
+    "Exits with 1 when a rule is violated."})
 final class GroupCommand implements Callable<Integer> {
-  @Option(names = "--members", paramLabel = "N", defaultValue = "3", description = "default: ${DEFAULT-VALUE}")
+  @Option(names = "--members", paramLabel = "N", defaultValue = "3",
+      description = "number of members (default: ${DEFAULT-VALUE})")
   private int members;
 
   @Option(names = "--seconds", paramLabel = "S", defaultValue = "30",
-      description = "seconds with faults in a run (default: ${DEFAULT-VALUE})")
+      description = "duration of the faults in a run, in virtual time (default: ${DEFAULT-VALUE})")
   private int seconds;
 
-  @Option(names = "--runs", paramLabel = "N", defaultValue = "100", description = "default: ${DEFAULT-VALUE}")
+  @Option(names = "--runs", paramLabel = "N", defaultValue = "100",
+      description = "number of runs (default: ${DEFAULT-VALUE})")
   private int runs;
 
   @Option(names = "--seed", paramLabel = "N", defaultValue = "1",
-      description = "of the first run; the others follow (default: ${DEFAULT-VALUE})")
-  private long seed;
+      description = "seed of the first run; each further run uses the next (default: ${DEFAULT-VALUE})")
+  private long firstSeed;
 
-  @Option(names = "--calm", description = "with no faults")
-  private boolean calm;
+  @Option(names = "--calm", description = "inject no faults")
+  private boolean faultFree;
 
-  @Option(names = "--mutants", description = "each known defect must be seen within so many runs")
-  private boolean mutants;
+  @Option(names = "--mutants", description = "check that each known defect is detected within --runs runs")
+  private boolean testMutants;
 
-  private record Played(long seed, GroupWorld.Outcome outcome) {}
+  private record SeedResult(long seed, GroupWorld.Outcome outcome) {}
 
   @Override
   public Integer call() {
@@ -42,54 +45,55 @@
       System.err.println("--members, --seconds and --runs must be at least 1");
       return 2;
     }
-    System.setProperty("org.slf4j.simpleLogger.log.io.microraft", "off"); // members tell of each step they take
-    return mutants ? prove() : play();
+    System.setProperty("org.slf4j.simpleLogger.log.io.microraft", "off"); // it logs each state change of a member
+    return testMutants ? runMutants() : runAll();
   }
 
   private LongStream seeds() {
-    return LongStream.range(seed, seed + runs);
+    return LongStream.range(firstSeed, firstSeed + runs);
   }
 
-  private Played play(long ofSeed, GroupMutant mutant) {
-    return new Played(ofSeed, new GroupWorld(members, seconds, ofSeed, mutant, calm).run());
+  private SeedResult run(long seed, GroupMutant mutant) {
+    return new SeedResult(seed, new GroupWorld(members, seconds, seed, mutant, faultFree).run());
   }
 
-  private int play() {
-    var played = seeds().parallel().mapToObj(each -> play(each, GroupMutant.NONE)).toList();
+  private int runAll() {
+    var results = seeds().parallel().mapToObj(seed -> run(seed, GroupMutant.NONE)).toList();
     long changes = 0;
-    long taken = 0;
-    Histogram waits = new Histogram(3);
+    long acceptedChanges = 0;
+    Histogram activationDelays = new Histogram(3);
     long crashes = 0;
-    long cuts = 0;
-    long broken = 0;
-    for (Played one : played) {
-      changes += one.outcome().changes();
-      taken += one.outcome().taken();
-      one.outcome().waits().forEach(waits::recordValue);
-      crashes += one.outcome().crashes();
-      cuts += one.outcome().cuts();
-      broken += one.outcome().violations().isEmpty() ? 0 : 1;
-      one.outcome().violations().stream().limit(3).forEach(what ->
-          System.out.printf("seed %d: %s%n", one.seed(), what));
+    long linkCuts = 0;
+    long failedRuns = 0;
+    for (SeedResult result : results) {
+      changes += result.outcome().changes();
+      acceptedChanges += result.outcome().taken();
+      result.outcome().waits().forEach(activationDelays::recordValue);
+      crashes += result.outcome().crashes();
+      linkCuts += result.outcome().cuts();
+      failedRuns += result.outcome().violations().isEmpty() ? 0 : 1;
+      result.outcome().violations().stream().limit(3).forEach(violation ->
+          System.out.printf("seed %d: %s%n", result.seed(), violation));
     }
     System.out.printf("%d members, %d runs of %d s: %d changes asked, %d begun, %d in force, %d crashes, %d cuts,"
-        + " %d runs broke a rule%n", members, runs, seconds, changes, taken, waits.getTotalCount(), crashes, cuts,
-        broken);
+        + " %d runs broke a rule%n", members, runs, seconds, changes, acceptedChanges,
+        activationDelays.getTotalCount(), crashes, linkCuts, failedRuns);
     System.out.printf("from the entry of a change in the log until a member decides by it: median %d ms, 99th"
-        + " percentile %d ms%n", waits.getValueAtPercentile(50) / 1000, waits.getValueAtPercentile(99) / 1000);
-    return broken == 0 ? 0 : 1;
+        + " percentile %d ms%n", activationDelays.getValueAtPercentile(50) / 1000,
+        activationDelays.getValueAtPercentile(99) / 1000);
+    return failedRuns == 0 ? 0 : 1;
   }
 
-  private int prove() {
+  private int runMutants() {
     int status = 0;
     System.out.println("| defect | runs until seen | first rule broken |\n| --- | ---: | --- |");
     for (GroupMutant mutant : GroupMutant.values()) {
-      var seen = seeds().mapToObj(each -> play(each, mutant)).filter(one -> !one.outcome().violations().isEmpty())
-          .findFirst();
+      var firstFailure = seeds().mapToObj(seed -> run(seed, mutant))
+          .filter(result -> !result.outcome().violations().isEmpty()).findFirst();
       System.out.printf("| %s | %s | %s |%n", mutant.name().toLowerCase(Locale.ROOT),
-          seen.map(one -> String.valueOf(one.seed() - seed + 1)).orElse("-"),
-          seen.map(one -> one.outcome().violations().get(0)).orElse("none in " + runs));
-      status = seen.isEmpty() == (mutant == GroupMutant.NONE) ? status : 1;
+          firstFailure.map(result -> String.valueOf(result.seed() - firstSeed + 1)).orElse("-"),
+          firstFailure.map(result -> result.outcome().violations().get(0)).orElse("none in " + runs));
+      status = firstFailure.isEmpty() == (mutant == GroupMutant.NONE) ? status : 1;
     }
     return status;
   }
--- a/lab/src/main/java/amberhoist/lab/LabCommand.java
+++ b/lab/src/main/java/amberhoist/lab/LabCommand.java
@@ -15,8 +15,8 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The laboratory's commands. */
-@Command(name = "lab", description = "Stand-ins and tools to try and measure a proxy with.",
+/** The {@code lab} command with its subcommands. */
+@Command(name = "lab", description = "Stubs, simulations and measurements for testing a proxy.",
     subcommands = {RunCommand.class, MutantsCommand.class, GroupCommand.class, ScaleCommand.class, SlopeCommand.class,
         FuzzCommand.class})
 final class LabCommand implements Runnable {
@@ -26,86 +26,91 @@
   @Override
   public void run() {
     throw new ParameterException(spec.commandLine(),
-        "say which: run, mutants, fuzz, group, scale, slope, reference, try, stand-in, client or flood");
+        "missing subcommand, one of: run, mutants, fuzz, group, scale, slope, reference, try, stand-in, client, flood");
   }
 
-  /** A newcomer's first look. */
+  /** Runs the demo: a proxy with stub peers in one process. */
   @Command(name = "try", description = {
-      "Starts a stand-in directory, two stand-in providers and a proxy on loopback, sends a client through it,",
-      "and prints what passes. It then drains the client's provider and follows the client to the other one."})
-  int tryOut(@Option(names = "--lines", paramLabel = "N", defaultValue = "3",
-      description = "lines the client sends (default: ${DEFAULT-VALUE})") int lines) throws IOException {
+      "Starts a stub directory, two stub providers and a proxy on loopback, connects a client through the proxy and",
+      "prints all lines. It then drains the client's provider and connects a client to the other one."})
+  int runDemo(@Option(names = "--lines", paramLabel = "N", defaultValue = "3",
+      description = "number of lines that the client sends (default: ${DEFAULT-VALUE})") int lines) throws IOException {
     if (lines < 1 || lines > 10_000) {
-      throw new ParameterException(spec.commandLine(), "--lines: expected 1 to 10000, not " + lines);
+      throw new ParameterException(spec.commandLine(), "--lines: must be between 1 and 10000, but is " + lines);
     }
-    try (TryOut tryOut = new TryOut(System.out)) {
-      Round round = tryOut.run(lines);
-      System.out.println(round.verdict());
-      return round.held() ? 0 : 1;
+    try (TryOut demo = new TryOut(System.out)) {
+      Round result = demo.run(lines);
+      System.out.println(result.verdict());
+      return result.held() ? 0 : 1;
     }
   }
 
-  /** Stand-ins for a proxy started by hand. */
+  /** Runs stub peers for a proxy that is started separately. */
   @Command(name = "stand-in", description = {
-      "Runs a stand-in directory and two stand-in providers until it is interrupted, for a proxy started by hand",
-      "with example/config.json."})
-  int standIn(@Option(names = "--directory", paramLabel = "PORT", defaultValue = "8500",
-      description = "port of the directory (default: ${DEFAULT-VALUE})") int directory,
+      "Runs a stub directory and two stub providers until interrupted, for a proxy that is started separately with",
+      "example/config.json."})
+  int runStubs(@Option(names = "--directory", paramLabel = "PORT", defaultValue = "8500",
+      description = "port of the directory (default: ${DEFAULT-VALUE})") int directoryPort,
       @Option(names = "--providers", paramLabel = "PORT", defaultValue = "3001",
-          description = "port of the first provider; the second takes the next (default: ${DEFAULT-VALUE})")
-      int providers) throws IOException, InterruptedException {
-    try (StandInProvider a = new StandInProvider("toy-a", providers, System.out::println);
-        StandInProvider b = new StandInProvider("toy-b", providers + 1, System.out::println);
-        StandInDirectory list = new StandInDirectory(directory, System.out::println)) {
-      list.tell(a.entry("active"), b.entry("active"));
-      System.out.println("directory on " + list.address() + ", providers on " + a.address() + " and " + b.address());
+          description = "port of the first provider; the second uses the next port (default: ${DEFAULT-VALUE})")
+      int firstProviderPort) throws IOException, InterruptedException {
+    try (StandInProvider firstProvider = new StandInProvider("toy-a", firstProviderPort, System.out::println);
+        StandInProvider secondProvider = new StandInProvider("toy-b", firstProviderPort + 1, System.out::println);
+        StandInDirectory stubDirectory = new StandInDirectory(directoryPort, System.out::println)) {
+      stubDirectory.tell(firstProvider.entry("active"), secondProvider.entry("active"));
+      System.out.println("directory on " + stubDirectory.address() + ", providers on " + firstProvider.address()
+          + " and " + secondProvider.address());
       Thread.currentThread().join();
     }
     return 0;
   }
 
-  /** The reference page. */
-  @Command(name = "reference", description = "Prints the reference page of experiments, made from the code.")
-  int reference() {
+  /** Prints the reference page of experiment files. */
+  @Command(name = "reference", description = "Prints the reference page of experiment files, generated from the code.")
+  int printReference() {
     System.out.print(ExperimentFile.page());
     return 0;
   }
 
-  /** A client by hand. */
+  /** Runs a test client. */
   @Command(name = "client", description = {
-      "Opens a connection through a proxy that was started by hand, sends lines and prints the answers.",
-      "Ends with 1 when it is not served, or a line does not come back."})
-  int client(@Parameters(index = "0", paramLabel = "ADDRESS", description = "the proxy, as in 127.0.0.1:3000")
+      "Opens a connection through a running proxy, sends lines and prints the answers.",
+      "Exits with 1 when the connection is rejected or a line is not returned."})
+  int runClient(@Parameters(index = "0", paramLabel = "ADDRESS",
+          description = "address of the proxy, such as 127.0.0.1:3000")
       String address, @Parameters(index = "1..*", paramLabel = "LINE", description = "lines to send")
       List<String> lines, @Option(names = "--class", paramLabel = "CLASS", defaultValue = "scan-tiles",
-          description = "class of the connection (default: ${DEFAULT-VALUE})") String type,
+          description = "class of the connection (default: ${DEFAULT-VALUE})") String className,
       @Option(names = "--wait", paramLabel = "SECONDS", defaultValue = "0",
-          description = "tries to connect for so long (default: ${DEFAULT-VALUE})") int wait) throws IOException {
+          description = "how long to retry connecting (default: ${DEFAULT-VALUE})") int connectTimeoutSeconds)
+      throws IOException {
     InetSocketAddress proxy;
     try {
       proxy = Address.parse(address);
     } catch (IllegalArgumentException fault) {
       throw new ParameterException(spec.commandLine(), fault.getMessage(), fault);
     }
-    List<String> all = lines == null ? List.of() : lines;
-    return new LineClient(System.out).run(proxy, type, all, Duration.ofSeconds(wait)) ? 0 : 1;
+    List<String> linesToSend = lines == null ? List.of() : lines;
+    return new LineClient(System.out)
+        .run(proxy, className, linesToSend, Duration.ofSeconds(connectTimeoutSeconds)) ? 0 : 1;
   }
 
-  /** What logging costs under attack. */
+  /** Measures what logging costs under a flood of malformed requests. */
   @Command(name = "flood", description = {
-      "Floods a proxy of its own with clients that send nonsense, once with its log at errors alone and once as it",
-      "is by default, and prints what the log wrote and what it cost."})
-  int flood(@Option(names = "--rate", paramLabel = "N", defaultValue = "10000",
-          description = "clients a second (default: ${DEFAULT-VALUE})") int rate,
+      "Starts a proxy and floods it with clients that send malformed requests, once for each of several log settings,",
+      "and prints how much was logged and what it cost."})
+  int runFlood(@Option(names = "--rate", paramLabel = "N", defaultValue = "10000",
+          description = "clients per second (default: ${DEFAULT-VALUE})") int clientsPerSecond,
       @Option(names = "--seconds", paramLabel = "N", defaultValue = "5",
-          description = "for so long (default: ${DEFAULT-VALUE})") int seconds,
+          description = "duration of each run (default: ${DEFAULT-VALUE})") int seconds,
       @Option(names = "--platform", paramLabel = "FILE", defaultValue = "example/config.json",
-          description = "the platform's JSON (default: ${DEFAULT-VALUE})") Path platform)
+          description = "file with the platform's JSON (default: ${DEFAULT-VALUE})") Path platform)
       throws IOException, InterruptedException {
-    if (rate < 1 || rate > 100_000 || seconds < 1 || seconds > 600) {
-      throw new ParameterException(spec.commandLine(), "expected --rate 1 to 100000 and --seconds 1 to 600");
+    if (clientsPerSecond < 1 || clientsPerSecond > 100_000 || seconds < 1 || seconds > 600) {
+      throw new ParameterException(spec.commandLine(),
+          "--rate must be between 1 and 100000, and --seconds between 1 and 600");
     }
-    Flood flood = new Flood(platform, rate, seconds);
+    Flood flood = new Flood(platform, clientsPerSecond, seconds);
     System.out.println(Flood.Cost.header());
     System.out.println(flood.run("errors alone", List.of("log.level=error")).row());
     System.out.println(flood.run("default, text", List.of()).row());
--- a/lab/src/main/java/amberhoist/lab/LabExtension.java
+++ b/lab/src/main/java/amberhoist/lab/LabExtension.java
@@ -2,7 +2,7 @@
 
 import amberhoist.cli.Extension;
 
-/** Brings {@code lab} to the command tree. */
+/** Adds the {@code lab} command to the command line. */
 public final class LabExtension implements Extension {
   @Override
   public Object command() {
--- a/lab/src/main/java/amberhoist/lab/LineClient.java
+++ b/lab/src/main/java/amberhoist/lab/LineClient.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.concurrent.locks.LockSupport;
 
-/** A client of the platform's lines, for a look by hand: opens a connection, sends lines and prints answers. */
+/** A client of the line protocol for manual tests: opens a connection, sends lines and prints the answers. */
 final class LineClient {
-  private static final long PAUSE = 50_000_000; // nanoseconds between tries to connect
+  private static final long CONNECT_RETRY_NANOS = 50_000_000;
 
   private final PrintStream out;
 
@@ -22,37 +22,40 @@
   }
 
   /**
-   * Opens a connection of this class and sends these lines one by one, each after the answer to the one before.
+   * Opens a connection and sends the lines one by one, each after the answer to the previous one.
    *
-   * @param wait tries to connect for so long, for a proxy that is only just starting
-   * @return whether the connection was served and each line returned
-   * @throws IOException when nobody listens there, or an answer does not come within ten seconds
+   * @param className request class of the connection
+   * @param connectTimeout how long to retry connecting, for a proxy that is still starting
+   * @return whether the connection was accepted and each line was returned unchanged
+   * @throws IOException if no connection is made in time, or an answer takes more than ten seconds
    */
-  boolean run(InetSocketAddress proxy, String type, List<String> lines, Duration wait) throws IOException {
-    try (Socket socket = connect(proxy, wait)) {
+  boolean run(InetSocketAddress proxy, String className, List<String> lines, Duration connectTimeout)
+      throws IOException {
+    try (Socket socket = connect(proxy, connectTimeout)) {
       socket.setSoTimeout(10_000);
       socket.setTcpNoDelay(true);
       BufferedReader in = new BufferedReader(
           new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
       String id = Long.toHexString(System.nanoTime());
-      boolean served = ask(socket, in, "OPEN " + id + " hand c=" + type + ",d=2000,g=hand").startsWith("UP ");
-      for (String line : served ? lines : List.<String>of()) {
-        served &= ask(socket, in, line).equals(line);
+      boolean succeeded = exchange(socket, in, "OPEN " + id + " hand c=" + className + ",d=2000,g=hand")
+          .startsWith("UP ");
+      for (String line : succeeded ? lines : List.<String>of()) {
+        succeeded &= exchange(socket, in, line).equals(line);
       }
-      return served;
+      return succeeded;
     }
   }
 
-  private String ask(Socket socket, BufferedReader in, String line) throws IOException {
+  private String exchange(Socket socket, BufferedReader in, String line) throws IOException {
     out.println("> " + line);
     StandIn.send(socket.getOutputStream(), line + "\r\n");
     String answer = in.readLine();
-    out.println(answer == null ? "the connection has ended" : "< " + answer);
+    out.println(answer == null ? "connection closed" : "< " + answer);
     return String.valueOf(answer);
   }
 
-  private static Socket connect(InetSocketAddress proxy, Duration wait) throws IOException {
-    long end = System.nanoTime() + wait.toNanos();
+  private static Socket connect(InetSocketAddress proxy, Duration timeout) throws IOException {
+    long deadline = System.nanoTime() + timeout.toNanos();
     while (true) {
       Socket socket = new Socket();
       try {
@@ -60,10 +63,10 @@
         return socket;
       } catch (IOException refused) {
         socket.close();
-        if (System.nanoTime() >= end) {
-          throw new IOException("nobody listens on " + proxy + ": " + refused.getMessage(), refused);
+        if (System.nanoTime() >= deadline) {
+          throw new IOException("cannot connect to " + proxy + ": " + refused.getMessage(), refused);
         }
-        LockSupport.parkNanos(PAUSE);
+        LockSupport.parkNanos(CONNECT_RETRY_NANOS);
       }
     }
   }
--- a/lab/src/main/java/amberhoist/lab/MutantsCommand.java
+++ b/lab/src/main/java/amberhoist/lab/MutantsCommand.java
@@ -14,42 +14,43 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Proves the checker: defects that are built in on purpose must each be seen. */
+/** Tests the checker: each defect that is built in on purpose must be detected. */
 @Command(name = "mutants", description = {
-    "Plays an experiment's first variant with each known defect built into its proxies, and prints which rule the",
-    "checker saw broken first. Ends with 1 when a defect goes unseen, or a rule breaks without any."})
+    "Simulates an experiment's first variant with each known defect built into its proxies, and prints the first",
+    "rule that the checker found violated. Exits with 1 when a defect is not detected, or when a rule is violated",
+    "without a defect."})
 final class MutantsCommand implements Callable<Integer> {
-  @Parameters(paramLabel = "FILE", description = "an experiment with faults of all kinds")
-  private Path file;
+  @Parameters(paramLabel = "FILE", description = "experiment with faults of all kinds")
+  private Path experimentFile;
 
   @Option(names = "--seeds", paramLabel = "N", defaultValue = "3",
-      description = "a defect must be seen within so many seeds (default: ${DEFAULT-VALUE})")
+      description = "number of seeds within which a defect must be detected (default: ${DEFAULT-VALUE})")
   private int seeds;
 
   @Override
   public Integer call() {
-    List<Experiment> read = ExperimentFile.readOrTell(List.of(file), System.err);
-    if (read.isEmpty()) {
+    List<Experiment> experiments = ExperimentFile.readOrTell(List.of(experimentFile), System.err);
+    if (experiments.isEmpty()) {
       return 1;
     }
-    Experiment experiment = read.get(0);
+    Experiment experiment = experiments.get(0);
     int status = 0;
     System.out.println("| defect | seeds until seen | first rule broken |\n| --- | ---: | --- |");
     for (Mutant mutant : Mutant.values()) {
-      Violation found = null;
-      int played = 0;
+      Violation firstViolation = null;
+      int runs = 0;
       for (long seed : Runs.seeds(experiment, seeds)) {
-        played++;
+        runs++;
         List<Violation> violations =
             new World(experiment, experiment.variants().get(0), seed, true, mutant).run().violations();
         if (!violations.isEmpty()) {
-          found = violations.get(0);
+          firstViolation = violations.get(0);
           break;
         }
       }
-      System.out.printf("| %s | %s | %s |%n", mutant.name().toLowerCase(Locale.ROOT), found == null ? "-" : played,
-          found == null ? "none in " + played : found);
-      status = (found == null) == (mutant == Mutant.NONE) ? status : 1;
+      System.out.printf("| %s | %s | %s |%n", mutant.name().toLowerCase(Locale.ROOT),
+          firstViolation == null ? "-" : runs, firstViolation == null ? "none in " + runs : firstViolation);
+      status = (firstViolation == null) == (mutant == Mutant.NONE) ? status : 1;
     }
     return status;
   }
--- a/lab/src/main/java/amberhoist/lab/RunCommand.java
+++ b/lab/src/main/java/amberhoist/lab/RunCommand.java
@@ -18,37 +18,39 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Runs experiments and judges their claims. */
+/** Runs experiments and evaluates their claims. */
 @Command(name = "run", description = {
     "Runs experiments in virtual time, each variant on the same seeds, prints figures and the hash of each event log,",
-    "and judges the claims. Ends with 1 when one falls or a rule is broken where no claim allows it."})
+    "and evaluates the claims. Exits with 1 when a claim fails, or a rule is violated where no claim allows it."})
 final class RunCommand implements Callable<Integer> {
   @Spec
   private CommandSpec spec;
 
-  @Parameters(paramLabel = "FILE", arity = "1..*", description = "experiments")
-  private List<Path> files;
+  @Parameters(paramLabel = "FILE", arity = "1..*", description = "experiment files")
+  private List<Path> experimentFiles;
 
   @Option(names = "--seeds", paramLabel = "N", defaultValue = "0",
-      description = "so many seeds; by default those that the experiment names")
+      description = "number of seeds; by default those listed in the experiment")
   private int seeds;
 
-  @Option(names = "--quick", description = "shortens what an experiment says may be shortened")
+  @Option(names = "--quick", description = "use the shorter duration that the experiment gives for quick runs")
   private boolean quick;
 
   @Option(names = "--threads", paramLabel = "N", defaultValue = "0",
-      description = "runs at a time; by default one a core")
+      description = "concurrent runs; by default one per core")
   private int threads;
 
-  @Option(names = "--out", paramLabel = "DIR", description = "keeps results.csv and report.md there, a folder each")
-  private Path out;
+  @Option(names = "--out", paramLabel = "DIR",
+      description = "write results.csv and report.md there, in a folder per experiment")
+  private Path outputFolder;
 
   @Override
   public Integer call() throws IOException, InterruptedException {
     if (seeds < 0 || seeds > 100_000 || threads < 0 || threads > 1024) {
-      throw new ParameterException(spec.commandLine(), "expected --seeds up to 100000 and --threads up to 1024");
+      throw new ParameterException(spec.commandLine(),
+          "--seeds must be between 0 and 100000, and --threads between 0 and 1024");
     }
-    List<Experiment> experiments = ExperimentFile.readOrTell(files, System.err);
+    List<Experiment> experiments = ExperimentFile.readOrTell(experimentFiles, System.err);
     if (experiments.isEmpty()) {
       return 1;
     }
@@ -60,11 +62,11 @@
   }
 
   private int run(Experiment experiment) throws IOException, InterruptedException {
-    int cores = threads > 0 ? threads : Runtime.getRuntime().availableProcessors();
-    Runs runs = Runs.run(experiment, seeds, quick, cores);
+    int threadCount = threads > 0 ? threads : Runtime.getRuntime().availableProcessors();
+    Runs runs = Runs.run(experiment, seeds, quick, threadCount);
     System.out.println("== " + experiment.name() + (experiment.title().isEmpty() ? "" : ": " + experiment.title()));
-    runs.byVariant().forEach((variant, all) -> {
-      for (Run run : all) {
+    runs.byVariant().forEach((variant, variantRuns) -> {
+      for (Run run : variantRuns) {
         System.out.printf("%s seed %d: service %.4f, violations %.0f, %d events (%.0f a second), hash %s%n", variant,
             run.seed(), run.outcome().figures().get("service"), run.outcome().figures().get("violations"),
             run.outcome().events(), run.outcome().events() * 1e9 / run.outcome().nanos(), run.outcome().hash());
@@ -79,8 +81,8 @@
       System.out.println(verdict);
       status = verdict.holds() ? status : 1;
     }
-    if (out != null) {
-      Path folder = new Results(runs).write(out);
+    if (outputFolder != null) {
+      Path folder = new Results(runs).write(outputFolder);
       System.out.println("kept in " + folder);
     }
     return status;
--- a/lab/src/main/java/amberhoist/lab/ScaleCommand.java
+++ b/lab/src/main/java/amberhoist/lab/ScaleCommand.java
@@ -18,99 +18,106 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Plays the control plane at size. */
+/** Simulates the control plane at scale. */
 @Command(name = "scale", description = {
-    "Plays controllers that agree on changes of policy and hollow proxies that follow them, in virtual time.",
-    "Ends with 1 when a rule breaks, or a change is not in force within ten seconds where it could be."})
+    "Simulates controllers that agree on changes of the policy, and control-plane-only proxies that apply them, in",
+    "virtual time. Exits with 1 when a rule is violated, or when a change is not in force on all reachable proxies",
+    "within ten seconds."})
 final class ScaleCommand implements Callable<Integer> {
-  private static final double NANOS = 1e9;
+  private static final double NANOS_PER_SECOND = 1e9;
 
   @Spec
   private CommandSpec spec;
 
-  @Option(names = "--proxies", paramLabel = "N", defaultValue = "100", description = "default: ${DEFAULT-VALUE}")
+  @Option(names = "--proxies", paramLabel = "N", defaultValue = "100",
+      description = "number of proxies (default: ${DEFAULT-VALUE})")
   private int proxies;
 
-  @Option(names = "--controllers", paramLabel = "N", defaultValue = "12", description = "default: ${DEFAULT-VALUE}")
+  @Option(names = "--controllers", paramLabel = "N", defaultValue = "12",
+      description = "number of controllers (default: ${DEFAULT-VALUE})")
   private int controllers;
 
   @Option(names = "--voters", paramLabel = "N",
-      description = "controllers that vote (default: 5, or all where there are fewer)")
+      description = "number of controllers that vote (default: 5, or all if there are fewer)")
   private Integer voters;
 
-  @Option(names = "--regions", paramLabel = "N", defaultValue = "7", description = "default: ${DEFAULT-VALUE}")
+  @Option(names = "--regions", paramLabel = "N", defaultValue = "7",
+      description = "number of regions (default: ${DEFAULT-VALUE})")
   private int regions;
 
-  @Option(names = "--zones", paramLabel = "N", defaultValue = "24", description = "default: ${DEFAULT-VALUE}")
+  @Option(names = "--zones", paramLabel = "N", defaultValue = "24",
+      description = "number of zones (default: ${DEFAULT-VALUE})")
   private int zones;
 
   @Option(names = "--changes-per-day", paramLabel = "N", defaultValue = "7400",
-      description = "changes of policy (default: ${DEFAULT-VALUE})")
+      description = "rate of policy changes (default: ${DEFAULT-VALUE})")
   private int changesPerDay;
 
   @Option(names = "--burst", paramLabel = "N", defaultValue = "0",
-      description = "further changes within a minute, from the middle on (default: ${DEFAULT-VALUE})")
+      description = "further changes, within one minute from the middle of the run (default: ${DEFAULT-VALUE})")
   private int burst;
 
   @Option(names = "--seconds", paramLabel = "S", defaultValue = "60",
-      description = "seconds with changes and faults (default: ${DEFAULT-VALUE})")
+      description = "duration of changes and faults, in virtual time (default: ${DEFAULT-VALUE})")
   private int seconds;
 
   @Option(names = "--document", paramLabel = "BYTES", defaultValue = "8192",
-      description = "size of the policy (default: ${DEFAULT-VALUE})")
+      description = "size of the policy document (default: ${DEFAULT-VALUE})")
   private int documentBytes;
 
   @Option(names = "--faults", paramLabel = "KIND", defaultValue = "ordinary",
-      description = "none, ordinary (a day's, a hundred times as often) or harsh (default: ${DEFAULT-VALUE})")
+      description = "none, ordinary (an ordinary day's, 100 times as often) or harsh (default: ${DEFAULT-VALUE})")
   private ScaleFaults faults;
 
-  @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "default: ${DEFAULT-VALUE}")
-  private long seed;
+  @Option(names = "--seed", paramLabel = "N", defaultValue = "1",
+      description = "seed of the first run (default: ${DEFAULT-VALUE})")
+  private long firstSeed;
 
   @Option(names = "--runs", paramLabel = "N", defaultValue = "1",
-      description = "runs, each on the next seed (default: ${DEFAULT-VALUE})")
+      description = "number of runs, each with the next seed (default: ${DEFAULT-VALUE})")
   private int runs;
 
-  @Option(names = "--json", description = "prints a line of JSON for each run instead of a table")
+  @Option(names = "--json", description = "print one line of JSON for each run instead of a table")
   private boolean json;
 
-  @Option(names = "--mutants", description = "each known defect must be seen within so many runs")
-  private boolean mutants;
+  @Option(names = "--mutants", description = "check that each known defect is detected within --runs runs")
+  private boolean testMutants;
 
   @Override
   public Integer call() throws JsonProcessingException {
     if (runs < 1) {
       throw new ParameterException(spec.commandLine(), "--runs must be at least 1");
     }
-    System.setProperty("org.slf4j.simpleLogger.log.io.microraft", "off"); // members tell of each step they take
-    return mutants ? prove() : play();
+    System.setProperty("org.slf4j.simpleLogger.log.io.microraft", "off"); // it logs each state change of a member
+    return testMutants ? runMutants() : runAll();
   }
 
-  private ScaleSettings settings(long ofSeed, ScaleMutant mutant) {
+  private ScaleSettings settings(long seed, ScaleMutant mutant) {
     try {
       return new ScaleSettings(proxies, controllers, voters == null ? Math.min(5, controllers) : voters, regions, zones,
-          changesPerDay, burst, seconds, documentBytes, ofSeed, faults, mutant);
+          changesPerDay, burst, seconds, documentBytes, seed, faults, mutant);
     } catch (IllegalArgumentException fault) {
       throw new ParameterException(spec.commandLine(), fault.getMessage(), fault);
     }
   }
 
-  private int play() throws JsonProcessingException {
+  private int runAll() throws JsonProcessingException {
     int status = 0;
-    for (long ofSeed = seed; ofSeed < seed + runs; ofSeed++) {
-      long before = System.nanoTime();
-      ScaleOutcome outcome = new ScaleWorld(settings(ofSeed, ScaleMutant.NONE)).run();
+    for (long seed = firstSeed; seed < firstSeed + runs; seed++) {
+      long startNanos = System.nanoTime();
+      ScaleOutcome outcome = new ScaleWorld(settings(seed, ScaleMutant.NONE)).run();
       Map<String, Object> figures = new LinkedHashMap<>(outcome.figures());
-      figures.put("real_seconds", Math.round((System.nanoTime() - before) / NANOS));
+      figures.put("real_seconds", Math.round((System.nanoTime() - startNanos) / NANOS_PER_SECOND));
       print(figures, outcome.violations());
-      boolean held = outcome.violations().isEmpty() && outcome.figures().get("not_in_force").intValue() == 0;
-      status = held ? status : 1;
+      boolean passed = outcome.violations().isEmpty() && outcome.figures().get("not_in_force").intValue() == 0;
+      status = passed ? status : 1;
     }
     return status;
   }
 
   private void print(Map<String, Object> figures, List<String> violations) throws JsonProcessingException {
-    violations.stream().limit(5).forEach(what -> System.err.println("seed " + figures.get("seed") + ": " + what));
+    violations.stream().limit(5).forEach(violation ->
+        System.err.println("seed " + figures.get("seed") + ": " + violation));
     if (json) {
       System.out.println(new ObjectMapper().writeValueAsString(figures));
     } else {
@@ -118,19 +125,19 @@
     }
   }
 
-  private int prove() {
+  private int runMutants() {
     int status = 0;
     System.out.println("| defect | runs until seen | first rule broken |\n| --- | ---: | --- |");
     for (ScaleMutant mutant : ScaleMutant.values()) {
-      String seen = null;
-      long ofSeed = seed;
-      for (; seen == null && ofSeed < seed + runs; ofSeed++) {
-        List<String> violations = new ScaleWorld(settings(ofSeed, mutant)).run().violations();
-        seen = violations.isEmpty() ? null : violations.get(0);
+      String firstViolation = null;
+      long seed = firstSeed;
+      for (; firstViolation == null && seed < firstSeed + runs; seed++) {
+        List<String> violations = new ScaleWorld(settings(seed, mutant)).run().violations();
+        firstViolation = violations.isEmpty() ? null : violations.get(0);
       }
       System.out.printf("| %s | %s | %s |%n", mutant.name().toLowerCase(Locale.ROOT),
-          seen == null ? "-" : ofSeed - seed, seen == null ? "none in " + runs : seen);
-      status = (seen == null) == (mutant == ScaleMutant.NONE) ? status : 1;
+          firstViolation == null ? "-" : seed - firstSeed, firstViolation == null ? "none in " + runs : firstViolation);
+      status = (firstViolation == null) == (mutant == ScaleMutant.NONE) ? status : 1;
     }
     return status;
   }
--- a/lab/src/main/java/amberhoist/lab/SlopeCommand.java
+++ b/lab/src/main/java/amberhoist/lab/SlopeCommand.java
@@ -14,18 +14,18 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What parts of the program cost by size. */
+/** Measures how the cost of parts of the proxy grows with size. */
 @Command(name = "slope", description = {
-    "Measures what parts of the program cost at several sizes, and prints the points and the line through them."})
+    "Measures the cost of parts of the proxy at several sizes, and prints the points and the line fitted to them."})
 final class SlopeCommand implements Callable<Integer> {
   @Spec
   private CommandSpec spec;
 
-  @Parameters(paramLabel = "WHAT", arity = "0..*", description = "${COMPLETION-CANDIDATES}; all of them by default")
+  @Parameters(paramLabel = "WHAT", arity = "0..*", description = "any of ${COMPLETION-CANDIDATES}; by default all")
   private List<Measurement> measurements;
 
   @Option(names = "--repetitions", paramLabel = "N", defaultValue = "7",
-      description = "of which the median counts (default: ${DEFAULT-VALUE})")
+      description = "repetitions of each measurement, of which the median is used (default: ${DEFAULT-VALUE})")
   private int repetitions;
 
   @Override
@@ -35,27 +35,27 @@
     }
     System.out.println("| what | by | points | intercept | slope | interval of 95 % | R2 |");
     System.out.println("| --- | --- | --- | ---: | ---: | ---: | ---: |");
-    for (Measurement each : measurements == null ? List.of(Measurement.values()) : measurements) {
-      print(each);
+    for (Measurement measurement : measurements == null ? List.of(Measurement.values()) : measurements) {
+      print(measurement);
     }
     return 0;
   }
 
   private void print(Measurement measurement) {
     List<Point> points = new ArrayList<>();
-    StringBuilder told = new StringBuilder();
+    StringBuilder pointsText = new StringBuilder();
     for (int size : measurement.sizes()) {
       double value = measurement.median(size, repetitions);
       points.add(new Point(size, value));
-      told.append(told.isEmpty() ? "" : ", ").append(size).append(": ").append(figure(value));
+      pointsText.append(pointsText.isEmpty() ? "" : ", ").append(size).append(": ").append(format(value));
     }
     Fit fit = Fit.through(points);
     System.out.printf(Locale.ROOT, "| %s, %s | %s | %s | %s | %s | %s | %.3f |%n",
-        measurement.name().toLowerCase(Locale.ROOT), measurement.value(), measurement.unit(), told,
-        figure(fit.intercept()), figure(fit.slope()), figure(fit.halfWidth()), fit.explained());
+        measurement.name().toLowerCase(Locale.ROOT), measurement.value(), measurement.unit(), pointsText,
+        format(fit.intercept()), format(fit.slope()), format(fit.halfWidth()), fit.explained());
   }
 
-  private static String figure(double value) {
+  private static String format(double value) {
     return String.format(Locale.ROOT, "%.4g", value);
   }
 }
--- a/lab/src/main/java/amberhoist/lab/StandIn.java
+++ b/lab/src/main/java/amberhoist/lab/StandIn.java
@@ -11,32 +11,32 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** A server on loopback with a thread for each connection: enough for a handful of peers, and easy to read. */
+/** A stub server on loopback with one thread per connection, for a small number of peers. */
 abstract class StandIn implements AutoCloseable {
   private final ServerSocket server;
-  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+  private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
 
-  /** Listens on this port of loopback; 0 lets the system choose. {@link #serve} begins to answer. */
+  /** Listens on this loopback port, or on any free one if it is 0. Connections are accepted after {@link #serve}. */
   StandIn(int port) throws IOException {
     server = new ServerSocket(port, 64, InetAddress.getLoopbackAddress());
   }
 
-  /** Accepts from now on; called once by the constructor of the class that knows how to talk. */
+  /** Starts to accept connections. Each subclass calls it once, at the end of its constructor. */
   final void serve(String name) {
-    daemon(name, () -> {
+    startDaemon(name, () -> {
       while (!server.isClosed()) {
         try {
           Socket socket = server.accept();
-          open.add(socket);
-          daemon(name, () -> talk(socket));
+          connections.add(socket);
+          startDaemon(name, () -> talk(socket));
         } catch (IOException closed) {
-          return; // the stand-in has been closed
+          return; // the server was closed
         }
       }
     });
   }
 
-  private static void daemon(String name, Runnable task) {
+  private static void startDaemon(String name, Runnable task) {
     Thread thread = new Thread(task, name);
     thread.setDaemon(true);
     thread.start();
@@ -49,13 +49,13 @@
           new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
       talk(in, socket.getOutputStream());
     } catch (IOException | InterruptedException ended) {
-      // the other side has gone, or the stand-in has been closed
+      // the peer closed the connection, or the server was closed
     } finally {
-      open.remove(socket);
+      connections.remove(socket);
     }
   }
 
-  /** Talks with one peer until one of the two ends it. */
+  /** Handles one connection until either side closes it. */
   abstract void talk(BufferedReader in, OutputStream out) throws IOException, InterruptedException;
 
   static void send(OutputStream out, String text) throws IOException {
@@ -63,7 +63,7 @@
     out.flush();
   }
 
-  /** Where it listens. */
+  /** The address that it listens on, as {@code host:port}. */
   final String address() {
     return "127.0.0.1:" + server.getLocalPort();
   }
@@ -71,7 +71,7 @@
   @Override
   public void close() throws IOException {
     server.close();
-    for (Socket socket : open) {
+    for (Socket socket : connections) {
       socket.close();
     }
   }
--- a/lab/src/main/java/amberhoist/lab/StandInDirectory.java
+++ b/lab/src/main/java/amberhoist/lab/StandInDirectory.java
@@ -5,13 +5,13 @@
 import java.io.OutputStream;
 import java.util.function.Consumer;
 
-/** A directory that tells each watch the whole list, again whenever it changes. */
+/** A stub directory that sends every watch the full list of providers, first at once and then after each change. */
 final class StandInDirectory extends StandIn {
-  private static final long PERIOD = 2000; // milliseconds between empty lines
+  private static final long KEEP_ALIVE_MILLIS = 2000; // between empty lines
 
   private final Consumer<String> log;
   private int index;
-  private String list = "";
+  private String snapshot = "";
 
   StandInDirectory(int port, Consumer<String> log) throws IOException {
     super(port);
@@ -19,10 +19,10 @@
     serve("directory");
   }
 
-  /** Lists these entries from now on. */
+  /** Replaces the list and sends it to all watches. Each entry is a JSON object of one provider. */
   synchronized void tell(String... entries) {
     index++;
-    list = "{\"index\":" + index + ",\"snapshot\":true,\"endpoints\":[" + String.join(",", entries) + "]}";
+    snapshot = "{\"index\":" + index + ",\"snapshot\":true,\"endpoints\":[" + String.join(",", entries) + "]}";
     notifyAll();
   }
 
@@ -30,19 +30,19 @@
   void talk(BufferedReader in, OutputStream out) throws IOException, InterruptedException {
     log.accept("directory < " + in.readLine());
     for (String header = in.readLine(); header != null && !header.isEmpty(); header = in.readLine()) {
-      // nothing in the headers matters here
+      // headers are ignored
     }
     send(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    int told = 0;
+    int sentIndex = 0;
     while (true) {
       String line = "";
       synchronized (this) {
-        if (told == index) {
-          wait(PERIOD);
+        if (sentIndex == index) {
+          wait(KEEP_ALIVE_MILLIS);
         }
-        if (told != index) {
-          told = index;
-          line = list;
+        if (sentIndex != index) {
+          sentIndex = index;
+          line = snapshot;
         }
       }
       send(out, Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
--- a/lab/src/main/java/amberhoist/lab/StandInProvider.java
+++ b/lab/src/main/java/amberhoist/lab/StandInProvider.java
@@ -5,7 +5,7 @@
 import java.io.OutputStream;
 import java.util.function.Consumer;
 
-/** A provider that answers UP to every first line and returns every other line. */
+/** A stub provider that answers UP to each open request and echoes all other lines. */
 final class StandInProvider extends StandIn {
   private final String name;
   private final Consumer<String> log;
@@ -21,7 +21,7 @@
     return name;
   }
 
-  /** Its entry in the directory's list. */
+  /** Returns its directory entry, a JSON object, with this status. */
   String entry(String status) {
     return "{\"name\":\"" + name + "\",\"address\":\"" + address() + "\",\"zone\":\"here\",\"type\":\"toy\","
         + "\"group\":0,\"status\":\"" + status + "\",\"weight\":1.0,\"since_ms\":0}";
--- a/lab/src/main/java/amberhoist/lab/TryOut.java
+++ b/lab/src/main/java/amberhoist/lab/TryOut.java
@@ -19,16 +19,17 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** One proxy between stand-ins, in this process, with a client sent through it. */
+/** A demo that runs a proxy with stub peers in this process and connects clients through it. */
 final class TryOut implements AutoCloseable {
-  private static final int PATIENCE = 10_000; // milliseconds for anything that must come
+  private static final int TIMEOUT_MILLIS = 10_000;
 
   /**
-   * What came of it.
+   * The result of the demo.
    *
-   * @param first the provider that the client was placed on
-   * @param second the provider that it was placed on once the first one drained
-   * @param returned lines that came back as they were sent
+   * @param first provider of the first client
+   * @param second provider of the second client, which connects while the first provider drains
+   * @param sent number of lines that the first client sent
+   * @param returned number of lines that were returned unchanged
    */
   record Round(String first, String second, int sent, int returned) {
     boolean held() {
@@ -43,33 +44,33 @@
   }
 
   private final PrintStream out;
-  private final StandInProvider a;
-  private final StandInProvider b;
+  private final StandInProvider firstProvider;
+  private final StandInProvider secondProvider;
   private final StandInDirectory directory;
   private final Service service;
 
   TryOut(PrintStream out) throws IOException {
     this.out = out;
-    a = new StandInProvider("toy-a", 0, this::passes);
-    b = new StandInProvider("toy-b", 0, this::passes);
-    directory = new StandInDirectory(0, this::passes);
-    directory.tell(a.entry("active"), b.entry("active"));
+    firstProvider = new StandInProvider("toy-a", 0, this::printLine);
+    secondProvider = new StandInProvider("toy-b", 0, this::printLine);
+    directory = new StandInDirectory(0, this::printLine);
+    directory.tell(firstProvider.entry("active"), secondProvider.entry("active"));
     EventLog.selectBackend(LogSettings.Format.TEXT);
-    Path platform = Files.createTempFile("amberhoist-try", ".json");
+    Path platformFile = Files.createTempFile("amberhoist-try", ".json");
     try {
-      Files.writeString(platform, platform());
-      service = Service.start(Setup.load(new Sources(null, Map.of("instance.platform", platform.toString()),
+      Files.writeString(platformFile, platformJson());
+      service = Service.start(Setup.load(new Sources(null, Map.of("instance.platform", platformFile.toString()),
           Map.of()), new Clock()));
     } catch (BadConfig fault) {
       throw new IOException(fault.getMessage(), fault);
     } finally {
-      Files.delete(platform);
+      Files.delete(platformFile);
     }
-    passes("proxy on " + service.address() + ", directory on " + directory.address() + ", providers on "
-        + a.address() + " and " + b.address());
+    printLine("proxy on " + service.address() + ", directory on " + directory.address() + ", providers on "
+        + firstProvider.address() + " and " + secondProvider.address());
   }
 
-  private String platform() {
+  private String platformJson() {
     return "{\"name\":\"try\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + directory.address()
         + "\",\"settings\":{\"zone\":\"here\",\"balancers\":1,\"discovery\":\"subscribe\",\"lanes\":[{"
         + "\"name\":\"scan-tiles\",\"effect\":\"pure\",\"key-scope\":\"all\",\"aim\":300000,\"give-up\":3000000}],"
@@ -77,74 +78,74 @@
         + "\"retry-after\":true,\"max-retry-after\":1500000}}}";
   }
 
-  private void passes(String line) {
+  private void printLine(String line) {
     synchronized (out) {
       out.println(line);
     }
   }
 
-  /** Sends a client through, drains its provider, and sends the client again. */
+  /** Connects a client, sends lines, drains the client's provider and connects another client. */
   Round run(int lines) throws IOException {
     awaitProviders("ready", 2);
-    String first;
+    String assigned;
     int returned = 0;
-    try (Client client = new Client()) {
-      first = client.open(1);
+    try (DemoClient client = new DemoClient()) {
+      assigned = client.open(1);
       for (int i = 0; i < lines; i++) {
         String line = "line " + i;
         client.send(line);
-        returned += line.equals(client.line()) ? 1 : 0;
+        returned += line.equals(client.readLine()) ? 1 : 0;
       }
     }
-    passes("directory tells that " + first + " drains");
-    directory.tell(a.entry(first.equals(a.name()) ? "leaving" : "active"),
-        b.entry(first.equals(b.name()) ? "leaving" : "active"));
+    printLine("directory announces that " + assigned + " is draining");
+    directory.tell(firstProvider.entry(assigned.equals(firstProvider.name()) ? "leaving" : "active"),
+        secondProvider.entry(assigned.equals(secondProvider.name()) ? "leaving" : "active"));
     awaitProviders("ready", 1);
-    try (Client client = new Client()) {
-      return new Round(first, client.open(2), lines, returned);
+    try (DemoClient client = new DemoClient()) {
+      return new Round(assigned, client.open(2), lines, returned);
     }
   }
 
-  /** Waits until the proxy has heard of so many providers in this state. */
+  /** Waits until the proxy lists {@code count} providers in this state. */
   private void awaitProviders(String state, int count) throws IOException {
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE);
+    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
     while (service.status().providers().stream().filter(provider -> provider.state().equals(state)).count()
         != count) {
-      if (System.nanoTime() > end) {
-        throw new IOException("the proxy has not heard of " + count + " providers that are " + state);
+      if (System.nanoTime() > deadline) {
+        throw new IOException("timed out waiting for the proxy to list " + count + " providers in state " + state);
       }
       Thread.onSpinWait();
     }
   }
 
-  /** The client's side, in the platform's lines. */
-  private final class Client implements AutoCloseable {
+  /** A client that speaks the line protocol. */
+  private final class DemoClient implements AutoCloseable {
     private final Socket socket = new Socket(InetAddress.getLoopbackAddress(), service.address().getPort());
     private final BufferedReader in = new BufferedReader(
         new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
 
-    Client() throws IOException {
-      socket.setSoTimeout(PATIENCE);
+    DemoClient() throws IOException {
+      socket.setSoTimeout(TIMEOUT_MILLIS);
       socket.setTcpNoDelay(true);
     }
 
     String open(int id) throws IOException {
       send("OPEN 0" + id + " aa c=scan-tiles,d=2000,g=g1");
-      String answer = line();
+      String answer = readLine();
       if (!answer.startsWith("UP ")) {
-        throw new IOException("the client was not served: " + answer);
+        throw new IOException("the connection was rejected: " + answer);
       }
       return answer.substring("UP ".length());
     }
 
     void send(String line) throws IOException {
-      passes("client > " + line);
+      printLine("client > " + line);
       StandIn.send(socket.getOutputStream(), line + "\r\n");
     }
 
-    String line() throws IOException {
+    String readLine() throws IOException {
       String line = String.valueOf(in.readLine());
-      passes("client < " + line);
+      printLine("client < " + line);
       return line;
     }
 
@@ -158,7 +159,7 @@
   public void close() throws IOException {
     service.kill();
     directory.close();
-    a.close();
-    b.close();
+    firstProvider.close();
+    secondProvider.close();
   }
 }
--- a/lab/src/main/java/amberhoist/lab/package-info.java
+++ b/lab/src/main/java/amberhoist/lab/package-info.java
@@ -1,2 +1,2 @@
-/** The laboratory: stand-ins for what surrounds a proxy, and the tools that play with them. Not in service. */
+/** The lab: stub peers, simulations and measurements for testing a proxy. Not used in production. */
 package amberhoist.lab;
