--- a/lab/src/main/java/amberhoist/lab/slope/Fit.java
+++ b/lab/src/main/java/amberhoist/lab/slope/Fit.java
@@ -4,21 +4,21 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * A straight line through measured points, by least squares.
+ * A straight line fitted to measured points by least squares.
  *
  * @param intercept value at size 0
  * @param slope value for each unit of size
- * @param halfWidth half of the slope's interval of 95 %, if the points scatter about a line by chance
- * @param explained part of the variance that the line explains, from 0 to 1
+ * @param halfWidth half the width of the slope's 95 % confidence interval, for normally distributed residuals
+ * @param explained coefficient of determination, from 0 to 1
  */
 public record Fit(double intercept, double slope, double halfWidth, double explained) {
   /** A measured value at a size. */
   public record Point(double size, double value) {}
 
-  /** The line through at least three points. */
+  /** Fits a line to at least three points. */
   public static Fit through(List<Point> points) {
     if (points.size() < 3) {
-      throw new IllegalArgumentException("a fit needs three points at least, not " + points.size());
+      throw new IllegalArgumentException("a fit needs at least three points, but there are " + points.size());
     }
     SimpleRegression regression = new SimpleRegression();
     points.forEach(point -> regression.addData(point.size(), point.value()));
@@ -26,7 +26,7 @@
         regression.getRSquare());
   }
 
-  /** The value at this size by the line. */
+  /** The value of the line at this size. */
   public double at(double size) {
     return intercept + slope * size;
   }
--- a/lab/src/main/java/amberhoist/lab/slope/Measurement.java
+++ b/lab/src/main/java/amberhoist/lab/slope/Measurement.java
@@ -8,43 +8,43 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** What can be measured by size, on one thread and with nothing round it. Values are medians over repetitions. */
+/** The costs that can be measured by size, each on one thread and in isolation. */
 public enum Measurement {
-  /** Placing a connection, over so many providers. */
+  /** Time to place a connection, by number of providers. */
   PLACEMENT("providers", "us a placement", 30, 100, 300, 1000, 3000) {
     @Override
     double once(int size) {
       ModuleBench bench = new ModuleBench(size, GROUPS, false);
-      return placements(bench);
+      return measurePlacements(bench);
     }
   },
-  /** Placing a connection, with so many groups. */
+  /** Time to place a connection, by number of groups. */
   GROUPS_KNOWN("groups", "us a placement", 10, 100, 1000, 10_000) {
     @Override
     double once(int size) {
       ModuleBench bench = new ModuleBench(PROVIDERS, size, false);
       for (int i = 0; i < size; i++) {
-        bench.place(); // each group's order is worked out once
+        bench.place(); // computes the provider order of each group, which is done once
       }
-      return placements(bench);
+      return measurePlacements(bench);
     }
   },
-  /** Memory that the module keeps for groups, with 300 providers. */
+  /** Memory that the decision module keeps for groups, with 300 providers. */
   GROUPS_MEMORY("groups", "KB", 10_000, 20_000, 50_000, 100_000) {
     @Override
     double once(int size) {
       ModuleBench bench = new ModuleBench(PROVIDERS, size, false);
       bench.place();
-      long before = used();
+      long before = usedHeapBytes();
       for (int i = 0; i < size; i++) {
         bench.place();
       }
-      long after = used();
-      bench.second(); // keeps it reachable until here
+      long after = usedHeapBytes();
+      bench.second(); // keeps the module reachable until here
       return (after - before) / 1024.0;
     }
   },
-  /** The module's timers, with so many standing connections. */
+  /** Time that the decision module's timers take, by number of established connections. */
   STANDING("connections", "ms a second", 100, 1000, 10_000, 88_400) {
     @Override
     double once(int size) {
@@ -55,10 +55,10 @@
       bench.second();
       long before = System.nanoTime();
       bench.second();
-      return (System.nanoTime() - before) / MILLION;
+      return (System.nanoTime() - before) / NANOS_PER_MILLI;
     }
   },
-  /** A report of a provider that is not hot, with so many standing connections in all. */
+  /** Time to handle a load report of a provider that is not overloaded, by number of established connections. */
   REPORT("connections", "us a report", 100, 1000, 10_000, 88_400) {
     @Override
     double once(int size) {
@@ -71,10 +71,10 @@
       for (int i = 0; i < reports; i++) {
         bench.report(i, 0.5);
       }
-      return (System.nanoTime() - before) / THOUSAND / reports;
+      return (System.nanoTime() - before) / NANOS_PER_MICRO / reports;
     }
   },
-  /** Resident memory of the program as a process, with so many standing connections. */
+  /** Resident memory of a proxy process, by number of established connections. */
   RELAY_MEMORY("connections", "KB", 100, 300, 1000, 3000, 6000) {
     @Override
     double once(int size) {
@@ -86,7 +86,7 @@
       }
     }
   },
-  /** Processor time of that process for a line there and back, 64 bytes, over 1,000 connections. */
+  /** Processor time of a proxy process for lines of 64 bytes and their echoes, over 1,000 connections. */
   RELAY_LINES("lines", "ms", 10_000, 30_000, 100_000, 300_000) {
     @Override
     double once(int size) {
@@ -94,17 +94,17 @@
         bench.connect(1000);
         double before = bench.processorMicros();
         bench.lines(size);
-        return (bench.processorMicros() - before) / THOUSAND;
+        return (bench.processorMicros() - before) / NANOS_PER_MICRO;
       } catch (IOException fault) {
         throw new UncheckedIOException(fault);
       }
     }
   },
-  /** A whole list of the directory, read. */
+  /** Time to parse a full list of the directory. */
   LIST("providers", "us a list", 30, 100, 300, 1000, 3000) {
     @Override
     double once(int size) {
-      byte[] list = list(size);
+      byte[] list = directoryListJson(size);
       long before = System.nanoTime();
       try {
         if (DirectoryUpdate.parse(list, new Clock()).providers().size() != size) {
@@ -113,22 +113,22 @@
       } catch (IOException impossible) {
         throw new UncheckedIOException(impossible);
       }
-      return (System.nanoTime() - before) / THOUSAND;
+      return (System.nanoTime() - before) / NANOS_PER_MICRO;
     }
   },
-  /** A whole list of the directory, in bytes. */
+  /** Size of a full list of the directory. */
   LIST_BYTES("providers", "bytes a list", 30, 100, 300, 1000, 3000) {
     @Override
     double once(int size) {
-      return list(size).length;
+      return directoryListJson(size).length;
     }
   };
 
   private static final int PROVIDERS = 300;
   private static final int GROUPS = 100;
   private static final int PLACEMENTS = 2000;
-  private static final double THOUSAND = 1e3;
-  private static final double MILLION = 1e6;
+  private static final double NANOS_PER_MICRO = 1e3;
+  private static final double NANOS_PER_MILLI = 1e6;
 
   private final String unit;
   private final String value;
@@ -142,33 +142,33 @@
 
   abstract double once(int size);
 
-  /** What the size counts. */
+  /** What the size counts, such as providers. */
   public String unit() {
     return unit;
   }
 
-  /** What is measured, in words. */
+  /** The measured quantity and its unit, in words. */
   public String value() {
     return value;
   }
 
-  /** The sizes that are measured. */
+  /** The sizes at which the cost is measured. */
   public List<Integer> sizes() {
     return Arrays.stream(sizes).boxed().toList();
   }
 
-  /** The median of so many repetitions at this size, after one that is not counted. */
+  /** The median over {@code repetitions} at this size, after a warm-up run that is not counted. */
   public double median(int size, int repetitions) {
     once(size);
-    double[] values = new double[repetitions];
+    double[] samples = new double[repetitions];
     for (int i = 0; i < repetitions; i++) {
-      values[i] = once(size);
+      samples[i] = once(size);
     }
-    Arrays.sort(values);
-    return values[repetitions / 2];
+    Arrays.sort(samples);
+    return samples[repetitions / 2];
   }
 
-  private static double placements(ModuleBench bench) {
+  private static double measurePlacements(ModuleBench bench) {
     int placed = 0;
     for (int i = 0; i < PLACEMENTS / 4; i++) {
       bench.place();
@@ -180,10 +180,10 @@
     if (placed < PLACEMENTS) {
       throw new IllegalStateException(placed + " of " + PLACEMENTS + " were placed");
     }
-    return (System.nanoTime() - before) / THOUSAND / PLACEMENTS;
+    return (System.nanoTime() - before) / NANOS_PER_MICRO / PLACEMENTS;
   }
 
-  private static byte[] list(int size) {
+  private static byte[] directoryListJson(int size) {
     StringBuilder text = new StringBuilder("{\"index\":41,\"snapshot\":true,\"endpoints\":[");
     for (int i = 0; i < size; i++) {
       text.append(i == 0 ? "" : ",").append("{\"name\":\"s-").append(Integer.toHexString(0x5be2a07c + i))
@@ -194,7 +194,7 @@
     return text.append("]}").toString().getBytes(StandardCharsets.UTF_8);
   }
 
-  private static long used() {
+  private static long usedHeapBytes() {
     System.gc();
     return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
   }
--- a/lab/src/main/java/amberhoist/lab/slope/ModuleBench.java
+++ b/lab/src/main/java/amberhoist/lab/slope/ModuleBench.java
@@ -14,69 +14,70 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The decision module with so many providers, groups and standing connections, and nothing round it. */
+/** The decision module in isolation, with a given number of providers, groups and established connections. */
 final class ModuleBench implements Balancer.Actions {
-  private static final long MILLI = 1_000;
+  private static final long MILLISECOND = 1_000;
   private static final long SECOND = 1_000_000;
-  private static final long WAIT = 5 * SECOND;
-  private static final int PROXIES = 4_300;
-  private static final double LOAD = 20_000; // micros of work a second
+  private static final long DEADLINE_MICROS = 5 * SECOND;
+  private static final int FLEET_SIZE = 4_300;
+  private static final double CONNECTION_LOAD = 20_000; // microseconds of work per second
 
   private final Balancer balancer = new Policy();
   private final int groups;
   private long now = 1000 * SECOND;
   private long nextId;
   private long timerAt = Long.MAX_VALUE;
-  private String sentTo;
+  private String attemptedServer;
 
-  ModuleBench(int providers, int groups, boolean reports) {
+  ModuleBench(int providers, int groups, boolean hasLoadReports) {
     this.groups = groups;
-    RequestClass type = new RequestClass("c", Effect.IDEMPOTENT, DedupScope.ALL, 300 * MILLI, WAIT, 1, 100 * MILLI);
-    balancer.start(now, new Settings("z", 0, PROXIES, List.of(type), false, 10 * SECOND, 4, 600 * MILLI, 0, 0, 0.3,
-        9 * SECOND, 2.5, 3 * SECOND, ConnectionValue.DEFAULT, reports), 7, this);
+    RequestClass requestClass = new RequestClass("c", Effect.IDEMPOTENT, DedupScope.ALL, 300 * MILLISECOND,
+        DEADLINE_MICROS, 1, 100 * MILLISECOND);
+    balancer.start(now, new Settings("z", 0, FLEET_SIZE, List.of(requestClass), false, 10 * SECOND, 4,
+        600 * MILLISECOND, 0, 0, 0.3, 9 * SECOND, 2.5, 3 * SECOND, ConnectionValue.DEFAULT, hasLoadReports), 7, this);
     List<Server> servers = new ArrayList<>();
     for (int i = 0; i < providers; i++) {
-      servers.add(new Server(provider(i), "z", "k", 0, ServerState.READY, 1, 0));
+      servers.add(new Server(providerName(i), "z", "k", 0, ServerState.READY, 1, 0));
     }
     balancer.onServerList(now, ListUpdateKind.FULL, servers);
   }
 
-  static String provider(int i) {
+  static String providerName(int i) {
     return "provider-" + i;
   }
 
-  private Request request() {
+  private Request newRequest() {
     long id = nextId++;
-    return new Request(id, "c", null, "client" + id, now + WAIT, 0, "group" + id % groups, false, false);
+    return new Request(id, "c", null, "client" + id, now + DEADLINE_MICROS, 0, "group" + id % groups, false, false);
   }
 
-  /** Takes over a connection that stands at this provider. */
+  /** Hands over a connection that is established with this provider. */
   void stand(int provider) {
-    Request request = request();
-    balancer.onHandover(now, request, provider(provider));
-    balancer.onLoad(now, request.id(), 0, LOAD);
+    Request request = newRequest();
+    balancer.onHandover(now, request, providerName(provider));
+    balancer.onLoad(now, request.id(), 0, CONNECTION_LOAD);
   }
 
-  /** Places a connection, which stands and then ends; whether it found a provider. */
+  /** Places a connection, establishes and ends it; returns whether a provider was found. */
   boolean place() {
-    Request request = request();
-    now += MILLI;
-    sentTo = null;
+    Request request = newRequest();
+    now += MILLISECOND;
+    attemptedServer = null;
     balancer.onRequest(now, request);
-    if (sentTo == null) {
+    if (attemptedServer == null) {
       return false;
     }
-    balancer.onEstablished(now, request.id(), 0, 0); // at once, so that no pacing of set-ups is measured
-    balancer.onAttemptEnded(now, request.id(), 0, Balancer.Outcome.SERVED, MILLI, true);
+    balancer.onEstablished(now, request.id(), 0, 0); // at once, to exclude pacing of setups
+    balancer.onAttemptEnded(now, request.id(), 0, Balancer.Outcome.SERVED, MILLISECOND, true);
     return true;
   }
 
-  /** A provider reports the part of what it can do that is asked of it. */
-  void report(int provider, double heat) {
-    balancer.onLoadReport(now, provider(provider), heat);
+  /** Sends a load report of a provider: its demand over its capacity. */
+  void report(int provider, double utilization) {
+    balancer.onLoadReport(now, providerName(provider), utilization);
   }
 
-  /** Lets a second pass, with every timer that falls due. */
+  /** Advances time by one second and runs the timers that expire. */
   void second() {
     long end = now + SECOND;
     while (timerAt <= end) {
@@ -89,32 +90,32 @@
 
   @Override
   public void startAttempt(long request, String server, long timeout) {
-    sentTo = server;
+    attemptedServer = server;
   }
 
   @Override
   public void reject(long request, long retryAfter) {
-    // tried no more
+    // not retried
   }
 
   @Override
   public void fail(long request) {
-    // tried no more
+    // not retried
   }
 
   @Override
   public void move(long request) {
-    // stays: what a decision costs is asked here
+    // ignored: only the cost of the decision is measured
   }
 
   @Override
   public void subscribe() {
-    // the list is given
+    // the list is set by the constructor
   }
 
   @Override
   public void requestLoadReport(String server) {
-    // reports come as the measurement has them
+    // the measurement sends load reports itself
   }
 
   @Override
--- a/lab/src/main/java/amberhoist/lab/slope/RelayBench.java
+++ b/lab/src/main/java/amberhoist/lab/slope/RelayBench.java
@@ -17,34 +17,35 @@
 import java.util.List;
 
 /**
- * The program as a process of its own with so many standing connections; all clients and the provider are on one thread
- * here. Lines go from clients to the provider and back.
+ * A proxy process with a given number of established connections. All clients and the provider run on one thread of
+ * this process. Clients send lines, and the provider echoes them.
  */
 final class RelayBench implements AutoCloseable {
-  private static final int LINE = 64; // bytes
-  private static final int BATCH = 200; // connections that are being set up at once
-  private static final long PATIENCE = 60_000_000_000L; // nanoseconds
-  private static final double TICKS_PER_SECOND = 100; // of /proc, on Linux
+  private static final int LINE_BYTES = 64;
+  private static final int MAX_IN_FLIGHT = 200; // connections or lines in flight
+  private static final long TIMEOUT_NANOS = 60_000_000_000L;
+  private static final double TICKS_PER_SECOND = 100; // unit of processor time in /proc on Linux
 
   private final Selector selector = Selector.open();
   private final ServerSocketChannel provider = ServerSocketChannel.open();
   private final List<SocketChannel> clients = new ArrayList<>();
   private final ByteBuffer buffer = ByteBuffer.allocateDirect(1 << 16);
-  private final Path config = Files.createTempFile("relay", ".json");
+  private final Path platformFile = Files.createTempFile("relay", ".json");
   private final Process process;
   private final InetSocketAddress proxy;
-  private long received; // bytes at clients
+  private long receivedBytes; // by clients
 
   RelayBench(int connections) throws IOException {
     provider.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 4096);
     provider.configureBlocking(false);
     provider.register(selector, SelectionKey.OP_ACCEPT);
-    Files.writeString(config, text(((InetSocketAddress) provider.getLocalAddress()).getPort(), connections));
-    process = start();
-    proxy = address();
+    Files.writeString(platformFile,
+        platformJson(((InetSocketAddress) provider.getLocalAddress()).getPort(), connections));
+    process = startProxy();
+    proxy = awaitProxyAddress();
   }
 
-  private static String text(int port, int connections) {
+  private static String platformJson(int port, int connections) {
     return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"seed\":\"1\",\"limits\":{"
         + "\"cores\":1.0,\"memory_mb\":4096,\"sockets\":" + (4 * connections + 1024) + "},\"known\":{\"index\":0,"
         + "\"snapshot\":true,\"endpoints\":[{\"name\":\"a\",\"address\":\"127.0.0.1:" + port + "\",\"zone\":\"here\","
@@ -57,80 +58,80 @@
         + "\"cold-share\":1.0,\"fall\":1000000,\"overload-factor\":4.0}}}";
   }
 
-  private Process start() throws IOException {
+  private Process startProxy() throws IOException {
     ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
         "-Xms8m", "-Xmx2g", "-Xss512k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "--add-opens",
         "java.base/sun.nio.ch=ALL-UNNAMED", "-cp", System.getProperty("java.class.path"), "amberhoist.cli.Main",
         "serve", "--listen", "127.0.0.1:0", "--directory", "127.0.0.1:1", "--set", "silence.alone=6s", "--set",
-        "silence.together=6s"); // a stall of this side is no silence of the provider
+        "silence.together=6s"); // a pause of this process must not make the provider silent
     builder.environment().keySet().removeIf(name -> name.startsWith("LB_") || name.startsWith("AMBERHOIST_"));
-    builder.environment().put("LB_CONFIG", config.toString());
+    builder.environment().put("LB_CONFIG", platformFile.toString());
     return builder.start();
   }
 
-  private InetSocketAddress address() throws IOException {
+  private InetSocketAddress awaitProxyAddress() throws IOException {
     BufferedReader log = process.errorReader(StandardCharsets.UTF_8);
     for (String line = log.readLine(); line != null; line = log.readLine()) {
       if (line.contains("serves on ")) {
-        Thread rest = new Thread(() -> log.lines().forEach(more -> { }));
-        rest.setDaemon(true);
-        rest.start();
+        Thread logReader = new Thread(() -> log.lines().forEach(more -> { }));
+        logReader.setDaemon(true);
+        logReader.start();
         int port = Integer.parseInt(line.replaceAll(".*address=/127\\.0\\.0\\.1:([0-9]+).*", "$1"));
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
       }
     }
-    throw new IOException("the proxy ended at its start");
+    throw new IOException("the proxy exited during start-up");
   }
 
-  /** Brings up so many connections, and returns when all of them stand. */
+  /** Opens connections until there are {@code connections}, and returns when all of them are established. */
   void connect(int connections) throws IOException {
-    int answer = "UP r\r\n".length();
+    int answerBytes = "UP r\r\n".length();
     while (clients.size() < connections) {
-      for (int i = Math.min(BATCH, connections - clients.size()); i > 0; i--) {
+      for (int i = Math.min(MAX_IN_FLIGHT, connections - clients.size()); i > 0; i--) {
         SocketChannel client = SocketChannel.open(proxy);
         clients.add(client);
         client.write(bytes("OPEN " + clients.size() + " k" + clients.size() + " c=c,t=t,d=20000\r\n"));
         client.configureBlocking(false);
         client.register(selector, SelectionKey.OP_READ, this);
       }
-      await((long) clients.size() * answer);
+      awaitReceived((long) clients.size() * answerBytes);
     }
   }
 
-  /** Sends a line on each connection in turn until so many have gone there and back. */
+  /** Sends {@code count} lines, over all connections in turn, and returns when all of them are echoed. */
   void lines(int count) throws IOException {
-    byte[] line = ("x".repeat(LINE - 2) + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
-    long before = received;
+    byte[] line = ("x".repeat(LINE_BYTES - 2) + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
+    long receivedBefore = receivedBytes;
     for (int i = 0; i < count; i++) {
       clients.get(i % clients.size()).write(ByteBuffer.wrap(line));
-      if (i % BATCH == BATCH - 1) {
-        await(before + (long) (i + 1) * LINE);
+      if (i % MAX_IN_FLIGHT == MAX_IN_FLIGHT - 1) {
+        awaitReceived(receivedBefore + (long) (i + 1) * LINE_BYTES);
       }
     }
-    await(before + (long) count * LINE);
+    awaitReceived(receivedBefore + (long) count * LINE_BYTES);
   }
 
   private static ByteBuffer bytes(String text) {
     return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  private void await(long bytes) throws IOException {
-    long end = System.nanoTime() + PATIENCE;
-    while (received < bytes) {
+  private void awaitReceived(long bytes) throws IOException {
+    long deadline = System.nanoTime() + TIMEOUT_NANOS;
+    while (receivedBytes < bytes) {
       selector.select(key -> {
         try {
-          ready(key);
+          onReady(key);
         } catch (IOException fault) {
           throw new UncheckedIOException(fault);
         }
       }, 1000);
-      if (System.nanoTime() > end || !process.isAlive()) {
-        throw new IOException(received + " of " + bytes + " bytes came");
+      if (System.nanoTime() > deadline || !process.isAlive()) {
+        throw new IOException(receivedBytes + " of " + bytes + " bytes received");
       }
     }
   }
 
-  private void ready(SelectionKey key) throws IOException {
+  private void onReady(SelectionKey key) throws IOException {
     if (key.isAcceptable()) {
       for (SocketChannel next = provider.accept(); next != null; next = provider.accept()) {
         next.configureBlocking(false);
@@ -142,24 +143,24 @@
     buffer.clear();
     int length = channel.read(buffer);
     if (length < 0) {
-      throw new IOException("a connection was ended");
+      throw new IOException("connection closed by the proxy");
     }
     if (key.attachment() == this) {
-      received += length;
+      receivedBytes += length;
     } else {
-      boolean first = buffer.get(0) == 'O';
+      boolean isOpenRequest = buffer.get(0) == 'O';
       buffer.flip();
-      channel.write(first ? bytes("UP r\r\n") : buffer);
+      channel.write(isOpenRequest ? bytes("UP r\r\n") : buffer);
     }
   }
 
-  /** Resident memory of the process, in KB. */
+  /** Resident memory of the proxy process, in KB. */
   long residentKb() throws IOException {
     return Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
         .filter(line -> line.startsWith("VmRSS")).mapToLong(line -> Long.parseLong(line.replaceAll("\\D", ""))).sum();
   }
 
-  /** Processor time of the process so far, in microseconds. */
+  /** Processor time of the proxy process so far, in microseconds. */
   double processorMicros() throws IOException {
     String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
     String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
@@ -173,6 +174,6 @@
       key.channel().close();
     }
     selector.close();
-    Files.deleteIfExists(config);
+    Files.deleteIfExists(platformFile);
   }
 }
--- a/lab/src/main/java/amberhoist/lab/slope/package-info.java
+++ b/lab/src/main/java/amberhoist/lab/slope/package-info.java
@@ -1,2 +1,2 @@
-/** What parts of the program cost by size: measured points, a line through them, and how far it may be carried. */
+/** Measures how the cost of parts of the proxy grows with size, and fits a line to the measured points. */
 package amberhoist.lab.slope;
