--- a/lab/src/main/java/amberhoist/lab/group/Defects.java
+++ b/lab/src/main/java/amberhoist/lab/group/Defects.java
@@ -7,24 +7,29 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** The defects of {@link GroupMutant}, each put between a member and what it rests on. */
+/** Creates the disks and sequences of members, with the defects of {@link GroupMutant} built in. */
 final class Defects {
-  private static final int VOTE = 3; // the kind of a frame that holds term and vote
-  private static final int HEAD = 9;
-  private static final int TAIL = 4;
+  private static final int VOTE_FRAME_KIND = 3; // kind of the frames that hold term and vote
+  private static final int FRAME_HEADER_BYTES = 9;
+  private static final int FRAME_CHECKSUM_BYTES = 4;
 
   private Defects() {}
 
-  /** The disk that a member starts with; {@code copies} hold what stood there at each of its starts. */
-  static Disk disk(GroupMutant mutant, EmulatedDisk disk, List<byte[]> copies) {
-    if (mutant == GroupMutant.FORGETS_ON_RESTART && copies.size() > 1) {
+  /**
+   * Returns the disk that a member starts with.
+   *
+   * @param contentsAtStarts the disk's contents at each start so far, this one included
+   */
+  static Disk disk(GroupMutant mutant, EmulatedDisk disk, List<byte[]> contentsAtStarts) {
+    if (mutant == GroupMutant.FORGETS_ON_RESTART && contentsAtStarts.size() > 1) {
       disk.replace(new byte[0]);
-    } else if (mutant == GroupMutant.TAKES_OLD_COPY && copies.size() > 2) {
-      disk.replace(copies.get(copies.size() - 3));
+    } else if (mutant == GroupMutant.TAKES_OLD_COPY && contentsAtStarts.size() > 2) {
+      disk.replace(contentsAtStarts.get(contentsAtStarts.size() - 3));
     }
-    return mutant == GroupMutant.FORGETS_VOTES ? new VotelessDisk(disk) : disk;
+    return mutant == GroupMutant.FORGETS_VOTES ? new VoteDroppingDisk(disk) : disk;
   }
 
+  /** Returns the sequence of changes that a member starts with. */
   static Sequence sequence(GroupMutant mutant) {
     return switch (mutant) {
       case TAKES_TWICE -> new Sequence() {
@@ -45,28 +50,28 @@
     };
   }
 
-  /** Leaves out the frames that hold votes. */
-  private record VotelessDisk(EmulatedDisk disk) implements Disk {
+  /** Drops the frames that hold votes. */
+  private record VoteDroppingDisk(EmulatedDisk disk) implements Disk {
     @Override
     public byte[] read() {
       return disk.read();
     }
 
-    private static byte[] without(byte[] bytes) {
-      ByteArrayOutputStream left = new ByteArrayOutputStream();
-      for (int at = 0; at < bytes.length;) {
-        int length = HEAD + ByteBuffer.wrap(bytes).getInt(at + 1) + TAIL;
-        if (bytes[at] != VOTE) {
-          left.write(bytes, at, length);
+    private static byte[] withoutVotes(byte[] bytes) {
+      ByteArrayOutputStream kept = new ByteArrayOutputStream();
+      for (int offset = 0; offset < bytes.length;) {
+        int length = FRAME_HEADER_BYTES + ByteBuffer.wrap(bytes).getInt(offset + 1) + FRAME_CHECKSUM_BYTES;
+        if (bytes[offset] != VOTE_FRAME_KIND) {
+          kept.write(bytes, offset, length);
         }
-        at += length;
+        offset += length;
       }
-      return left.toByteArray();
+      return kept.toByteArray();
     }
 
     @Override
     public void append(byte[] bytes) throws IOException {
-      disk.append(without(bytes));
+      disk.append(withoutVotes(bytes));
     }
 
     @Override
@@ -76,7 +81,7 @@
 
     @Override
     public void replace(byte[] bytes) {
-      disk.replace(without(bytes));
+      disk.replace(withoutVotes(bytes));
     }
   }
 }
--- a/lab/src/main/java/amberhoist/lab/group/EmulatedDisk.java
+++ b/lab/src/main/java/amberhoist/lab/group/EmulatedDisk.java
@@ -5,68 +5,68 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 
-/** A disk that loses what was not forced when its machine crashes, but for a part that was on its way. */
+/** A disk that loses unforced writes when its machine crashes, except for a random prefix of them. */
 public final class EmulatedDisk implements Disk {
-  private final Chance chance;
-  private final boolean forces;
-  private byte[] safe = new byte[0];
-  private final ByteArrayOutputStream loose = new ByteArrayOutputStream();
-  private boolean failing;
+  private final Chance random;
+  private final boolean forceWorks;
+  private byte[] durable = new byte[0];
+  private final ByteArrayOutputStream unforced = new ByteArrayOutputStream();
+  private boolean isFailing;
 
-  /** A disk that forces, or only says so. */
-  public EmulatedDisk(Chance chance, boolean forces) {
-    this.chance = chance;
-    this.forces = forces;
+  /** Creates an empty disk; if {@code forceWorks} is false, {@link #force} succeeds but makes nothing durable. */
+  public EmulatedDisk(Chance random, boolean forceWorks) {
+    this.random = random;
+    this.forceWorks = forceWorks;
   }
 
   @Override
   public byte[] read() {
-    byte[] all = new byte[safe.length + loose.size()];
-    System.arraycopy(safe, 0, all, 0, safe.length);
-    System.arraycopy(loose.toByteArray(), 0, all, safe.length, loose.size());
-    return all;
+    byte[] contents = new byte[durable.length + unforced.size()];
+    System.arraycopy(durable, 0, contents, 0, durable.length);
+    System.arraycopy(unforced.toByteArray(), 0, contents, durable.length, unforced.size());
+    return contents;
   }
 
   @Override
   public void append(byte[] bytes) throws IOException {
-    if (failing) {
-      loose.write(bytes, 0, chance.below(bytes.length));
+    if (isFailing) {
+      unforced.write(bytes, 0, random.below(bytes.length));
       throw new IOException("no space left on the emulated device");
     }
-    loose.writeBytes(bytes);
+    unforced.writeBytes(bytes);
   }
 
   @Override
   public void force() throws IOException {
-    if (failing) {
+    if (isFailing) {
       throw new IOException("the emulated device does not answer");
     }
-    if (forces) {
-      safe = read();
-      loose.reset();
+    if (forceWorks) {
+      durable = read();
+      unforced.reset();
     }
   }
 
   @Override
   public void replace(byte[] bytes) {
-    safe = bytes.clone();
-    loose.reset();
+    durable = bytes.clone();
+    unforced.reset();
   }
 
-  /** Its machine crashes: of what is not forced, a part from the beginning is there. */
+  /** Crashes the machine: of the unforced bytes, a prefix of random length survives. */
   public void crash() {
-    byte[] rest = loose.toByteArray();
-    loose.reset();
-    int kept = rest.length == 0 ? 0 : chance.below(rest.length + 1);
-    byte[] file = new byte[safe.length + kept];
-    System.arraycopy(safe, 0, file, 0, safe.length);
-    System.arraycopy(rest, 0, file, safe.length, kept);
-    safe = file;
-    failing = false;
+    byte[] unforcedBytes = unforced.toByteArray();
+    unforced.reset();
+    int keptLength = unforcedBytes.length == 0 ? 0 : random.below(unforcedBytes.length + 1);
+    byte[] contents = new byte[durable.length + keptLength];
+    System.arraycopy(durable, 0, contents, 0, durable.length);
+    System.arraycopy(unforcedBytes, 0, contents, durable.length, keptLength);
+    durable = contents;
+    isFailing = false;
   }
 
-  /** From now on nothing can be written. */
+  /** Makes every write and force fail until the next crash. */
   void fail() {
-    failing = true;
+    isFailing = true;
   }
 }
--- a/lab/src/main/java/amberhoist/lab/group/GroupChecker.java
+++ b/lab/src/main/java/amberhoist/lab/group/GroupChecker.java
@@ -11,112 +11,123 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Judges the histories of a group of members; it knows nothing of how they came about. */
+/** Checks the recorded histories of a group's members against the rules, independently of how they came about. */
 final class GroupChecker {
-  /** The rules. */
+  /** The rules that a history must not violate. */
   enum Rule { ONE_DECISION, ONE_LEADER, ONE_ANSWER, ONCE, NEXT_VERSION, ONE_VERSION, NOTHING_LOST, ENDED }
 
-  /** One rule broken, at this time in microseconds. */
+  /** A violation of a rule, with its time in microseconds. */
   record Violation(Rule rule, long at, String what) {}
 
-  private static final long LEASELESS = 10_000_000; // micros; a lease may run out now and then where messages get lost
+  private static final long MAX_MICROS_WITHOUT_LEASE = 10_000_000; // lost messages may let a lease expire
 
   private final List<Violation> violations = new ArrayList<>();
-  private final Map<Long, String> decided = new HashMap<>(); // by index of the log
-  private final Map<Long, String> byVersion = new HashMap<>();
-  private final Map<String, Long> byId = new HashMap<>();
-  private final Map<Integer, String> leaders = new HashMap<>(); // by term
-  private final Map<String, Long> decidedAt = new HashMap<>(); // by member: when it last had a version to decide by
-  private final Map<Long, Long> begunAt = new HashMap<>(); // by version
-  private final List<Long> waits = new ArrayList<>(); // from begun to the first that decides by it
-  private long highest = -1; // version that any member has decided by
-  private final Map<String, Verdict> answers = new HashMap<>(); // told to operators
-  private final Set<String> asked = new HashSet<>();
+  private final Map<Long, String> commandByIndex = new HashMap<>(); // index in the log
+  private final Map<Long, String> changeByVersion = new HashMap<>();
+  private final Map<String, Long> versionByChange = new HashMap<>();
+  private final Map<Integer, String> leaderByTerm = new HashMap<>();
+  private final Map<String, Long> lastUsableAt = new HashMap<>(); // by member
+  private final Map<Long, Long> acceptedAt = new HashMap<>(); // by version
+  private final List<Long> activationDelays = new ArrayList<>(); // from acceptance to first use
+  private long highestVersion = -1; // that any member has decided by
+  private final Map<String, Verdict> resultByChange = new HashMap<>(); // as sent to operators
+  private final Set<String> requestedChanges = new HashSet<>();
 
-  private void broken(Rule rule, long at, String what) {
-    violations.add(new Violation(rule, at, what));
+  private void report(Rule rule, long atMicros, String description) {
+    violations.add(new Violation(rule, atMicros, description));
   }
 
-  /** A member has learned of an entry. */
-  void applied(long at, String member, long index, byte[] command, Verdict verdict) {
-    Change change = verdict == null ? null : Rollout.proposed(command);
-    String what = change == null ? Arrays.toString(command) : change.id() + "@" + change.base();
-    String before = decided.putIfAbsent(index, what);
-    if (before != null && !before.equals(what)) {
-      broken(Rule.ONE_DECISION, at, member + " learned " + what + " at " + index + ", another " + before);
+  /** A member has applied an entry of the log; {@code result} is null unless it proposes a change. */
+  void applied(long atMicros, String member, long index, byte[] command, Verdict result) {
+    Change change = result == null ? null : Rollout.proposed(command);
+    String description = change == null ? Arrays.toString(command) : change.id() + "@" + change.base();
+    String previous = commandByIndex.putIfAbsent(index, description);
+    if (previous != null && !previous.equals(description)) {
+      report(Rule.ONE_DECISION, atMicros,
+          member + " learned " + description + " at " + index + ", another " + previous);
     }
-    if (change != null && verdict.taken()) {
-      if (verdict.version() != change.base() + 1) {
-        broken(Rule.NEXT_VERSION, at, what + " became version " + verdict.version());
+    if (change != null && result.taken()) {
+      if (result.version() != change.base() + 1) {
+        report(Rule.NEXT_VERSION, atMicros, description + " became version " + result.version());
       }
-      begunAt.putIfAbsent(verdict.version(), at);
-      String other = byVersion.putIfAbsent(verdict.version(), change.id());
-      if (other != null && !other.equals(change.id())) {
-        broken(Rule.ONE_DECISION, at, "version " + verdict.version() + " is " + change.id() + " and " + other);
+      acceptedAt.putIfAbsent(result.version(), atMicros);
+      String otherChange = changeByVersion.putIfAbsent(result.version(), change.id());
+      if (otherChange != null && !otherChange.equals(change.id())) {
+        report(Rule.ONE_DECISION, atMicros,
+            "version " + result.version() + " is " + change.id() + " and " + otherChange);
       }
-      Long first = byId.putIfAbsent(change.id(), verdict.version());
-      if (first != null && first != verdict.version()) {
-        broken(Rule.ONCE, at, change.id() + " became " + first + " and " + verdict.version());
+      Long firstVersion = versionByChange.putIfAbsent(change.id(), result.version());
+      if (firstVersion != null && firstVersion != result.version()) {
+        report(Rule.ONCE, atMicros, change.id() + " became " + firstVersion + " and " + result.version());
       }
     }
   }
 
-  /** A member would decide by this version now; -1 for by none. Once one decides by a newer, none may by an older. */
-  void decides(long at, String member, long version) {
-    if (version >= 0 && version < highest) {
-      broken(Rule.ONE_VERSION, at, member + " decides by " + version + " after another by " + highest);
+  /**
+   * Checks the version that a member may decide by now, or -1 for none. Once a member decides by a version, no member
+   * may decide by an older one.
+   */
+  void decides(long atMicros, String member, long version) {
+    if (version >= 0 && version < highestVersion) {
+      report(Rule.ONE_VERSION, atMicros, member + " decides by " + version + " after another by " + highestVersion);
     }
-    if (version > Math.max(0, highest)) {
-      waits.add(at - begunAt.getOrDefault(version, at));
+    if (version > Math.max(0, highestVersion)) {
+      activationDelays.add(atMicros - acceptedAt.getOrDefault(version, atMicros));
     }
-    highest = Math.max(highest, version);
+    highestVersion = Math.max(highestVersion, version);
     if (version >= 0) {
-      decidedAt.put(member, at);
+      lastUsableAt.put(member, atMicros);
     }
   }
 
-  /** A member leads in this term, as far as another knows. */
-  void leads(long at, int term, String leader) {
-    String other = leaders.putIfAbsent(term, leader);
-    if (other != null && !other.equals(leader)) {
-      broken(Rule.ONE_LEADER, at, "term " + term + " was led by " + other + " and " + leader);
+  /** Checks a member's view of who leads in a term. */
+  void leads(long atMicros, int term, String leader) {
+    String otherLeader = leaderByTerm.putIfAbsent(term, leader);
+    if (otherLeader != null && !otherLeader.equals(leader)) {
+      report(Rule.ONE_LEADER, atMicros, "term " + term + " was led by " + otherLeader + " and " + leader);
     }
   }
 
+  /** An operator has requested a change. */
   void asked(Change change) {
-    asked.add(change.id());
+    requestedChanges.add(change.id());
   }
 
-  /** An operator was told what became of a change. */
-  void answered(long at, Change change, Verdict verdict) {
-    Verdict before = answers.putIfAbsent(change.id(), verdict);
-    if (before != null && !before.equals(verdict)) {
-      broken(Rule.ONE_ANSWER, at, change.id() + " was answered " + before + " and " + verdict);
+  /** An operator has received the result of a change. */
+  void answered(long atMicros, Change change, Verdict result) {
+    Verdict previous = resultByChange.putIfAbsent(change.id(), result);
+    if (previous != null && !previous.equals(result)) {
+      report(Rule.ONE_ANSWER, atMicros, change.id() + " was answered " + previous + " and " + result);
     }
   }
 
-  /** All links have been whole for long: every change has ended, and what was acknowledged is in force everywhere. */
-  void ends(long at, Map<String, Long> versions) {
-    for (String id : asked) {
-      if (!answers.containsKey(id)) {
-        broken(Rule.ENDED, at, id + " never got an answer");
+  /**
+   * Checks the end of a run, after a long time without faults: every change has ended, and the latest acknowledged
+   * change is in force everywhere.
+   *
+   * @param versions version in force by member, or -1 while a change is pending there
+   */
+  void ends(long atMicros, Map<String, Long> versions) {
+    for (String id : requestedChanges) {
+      if (!resultByChange.containsKey(id)) {
+        report(Rule.ENDED, atMicros, id + " never got an answer");
       }
     }
-    answers.forEach((id, verdict) -> {
-      Long version = byId.get(id);
-      if (!verdict.taken() && version != null) {
-        broken(Rule.ONCE, at, id + " was told that it lost, and became " + version);
+    resultByChange.forEach((id, result) -> {
+      Long version = versionByChange.get(id);
+      if (!result.taken() && version != null) {
+        report(Rule.ONCE, atMicros, id + " was told that it lost, and became " + version);
       }
-      if (verdict.taken() && (version == null || version != verdict.version())) {
-        broken(Rule.NOTHING_LOST, at, id + " was acknowledged as " + verdict.version() + ", and is " + version);
+      if (result.taken() && (version == null || version != result.version())) {
+        report(Rule.NOTHING_LOST, atMicros, id + " was acknowledged as " + result.version() + ", and is " + version);
       }
     });
     versions.forEach((member, version) -> {
-      if (version != highest) {
-        broken(Rule.ENDED, at, member + " ends by version " + version + ", and one decided by " + highest);
+      if (version != highestVersion) {
+        report(Rule.ENDED, atMicros, member + " ends by version " + version + ", and one decided by " + highestVersion);
       }
-      if (at - decidedAt.getOrDefault(member, 0L) > LEASELESS) {
-        broken(Rule.ENDED, at, member + " has had no lease for long, though all is whole");
+      if (atMicros - lastUsableAt.getOrDefault(member, 0L) > MAX_MICROS_WITHOUT_LEASE) {
+        report(Rule.ENDED, atMicros, member + " has had no lease for long, though all is whole");
       }
     });
   }
@@ -125,12 +136,13 @@
     return violations;
   }
 
+  /** Number of changes that became a version. */
   int taken() {
-    return byVersion.size();
+    return changeByVersion.size();
   }
 
-  /** For each change that came in force, micros from its entry in the log until a member decided by it. */
+  /** For each change that came into force, microseconds from its log entry until a member first decided by it. */
   List<Long> waits() {
-    return waits;
+    return activationDelays;
   }
 }
--- a/lab/src/main/java/amberhoist/lab/group/GroupMutant.java
+++ b/lab/src/main/java/amberhoist/lab/group/GroupMutant.java
@@ -1,32 +1,33 @@
 package amberhoist.lab.group;
 
-/** A defect built into members on purpose, to prove the checker. */
+/** A defect that is built into members on purpose, to test the checker. */
 public enum GroupMutant {
+  /** No defect. */
   NONE,
-  /** Loses its vote and term at a crash: the log's frames of them are never forced. */
+  /** Loses its vote and term in a crash: they are never written to the log. */
   FORGETS_VOTES,
-  /** Acknowledges entries before they are forced. */
+  /** Acknowledges entries before they are forced to disk. */
   ACKNOWLEDGES_UNFORCED,
-  /** Starts again with nothing of its log but its name. */
+  /** Restarts with an empty log under its old name. */
   FORGETS_ON_RESTART,
-  /** Starts again with the log as it was some restarts ago. */
+  /** Restarts with the log of an earlier restart. */
   TAKES_OLD_COPY,
-  /** Takes a change that was sent again for a new one. */
+  /** Treats a change that was sent again as a new one. */
   TAKES_TWICE,
-  /** Takes changes made from an older version. */
+  /** Accepts changes that are based on an older version. */
   IGNORES_BASE,
-  /** Answers that a change took hold before that is decided. */
+  /** Acknowledges a change before the group has decided it. */
   ANSWERS_UNDECIDED,
   /** Decides by a version without a lease. */
   SKIPS_LEASE,
-  /** Counts a lease from when it came, not from when it was asked for, and knows no other limit. */
+  /** Counts a lease from its arrival instead of its request, and applies no other limit to it. */
   STRETCHES_LEASE,
-  /** Decides by the version before while a change is under way. */
+  /** Decides by the previous version while a change is pending. */
   DECIDES_WHILE_PENDING,
-  /** Holds a lease without knowing the log so far. */
+  /** Uses a lease before it has applied the log up to the lease's index. */
   IGNORES_INDEX,
-  /** Puts a change in force without waiting for who has not prepared it. */
+  /** Puts a change into force without waiting for members that have not prepared it. */
   CONCLUDES_EARLY,
-  /** A new leader waits for no lease that the one before may have granted. */
+  /** A new leader does not wait for leases that its predecessor may have granted. */
   FORGETS_LEASES
 }
--- a/lab/src/main/java/amberhoist/lab/group/GroupWorld.java
+++ b/lab/src/main/java/amberhoist/lab/group/GroupWorld.java
@@ -22,207 +22,222 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One run of a group in virtual time: the real members and logs between emulated links, disks and operators, under
- * faults drawn from a seed; in the end all is whole, and the checker judges what was recorded.
+ * Simulates a group in virtual time: real members and logs with emulated links, disks and operators, under faults drawn
+ * from a seed. Faults stop before the end of a run, so that the checker can verify that the group recovers.
  */
 public final class GroupWorld {
-  private static final long START = 1_000_000_000_000L; // micros
-  private static final long MILLI = 1_000;
+  private static final long START_MICROS = 1_000_000_000_000L;
+  private static final long MILLISECOND = 1_000; // in microseconds, as all times here
   private static final long SECOND = 1_000_000;
-  private static final long QUIET = 120 * SECOND; // at the end, with all members up and all links whole
-  private static final long TURN = 100 * MILLI; // between looks of a member at what there is to do
-  private static final long RENEW = 500 * MILLI;
-  private static final long LOOK = 10 * MILLI; // of the checker
-  private static final long AGAIN = 300 * MILLI; // an operator with no answer asks again after this
-
-  private final VirtualTime time = new VirtualTime(START);
-  private final Chance chance;
-  private final Chance faults;
+  private static final long RECOVERY_MICROS = 120 * SECOND; // fault-free time at the end of a run
+  private static final long MEMBER_TURN_MICROS = 100 * MILLISECOND;
+  private static final long LEASE_RENEWAL_MICROS = 500 * MILLISECOND;
+  private static final long CHECK_INTERVAL_MICROS = 10 * MILLISECOND;
+  private static final long RETRY_DELAY_MICROS = 300 * MILLISECOND; // of an operator without an answer
+
+  private final VirtualTime time = new VirtualTime(START_MICROS);
+  private final Chance random;
+  private final Chance faultRandom;
   private final GroupMutant mutant;
   private final GroupChecker checker = new GroupChecker();
-  private final Map<String, Machine> machines = new LinkedHashMap<>();
-  private final List<Member> all = new ArrayList<>();
-  private final Map<String, Long> cutUntil = new HashMap<>(); // one way, by "from>to"
+  private final Map<String, MemberMachine> machines = new LinkedHashMap<>();
+  private final List<Member> allMembers = new ArrayList<>();
+  private final Map<String, Long> linkCutUntil = new HashMap<>(); // by "from>to", one direction each
   private final long faultsEnd;
-  private final double loss;
-  private final boolean calm;
-  private long crashes;
-  private long cuts;
-  private int changes;
-
-  /** What came of a run; {@code violations} are told in words, none where all rules held. */
+  private final double messageLoss;
+  private final boolean faultFree;
+  private long crashCount;
+  private long cutCount;
+  private int changeCount;
+
+  /**
+   * The result of a run.
+   *
+   * @param violations descriptions of the rule violations
+   * @param changes number of changes requested
+   * @param taken number of changes that became a version
+   * @param waits microseconds from the log entry of a change until a member first decided by it
+   * @param crashes number of crashed processes
+   * @param cuts number of links cut, each in one direction
+   * @param events number of simulated events
+   */
   public record Outcome(List<String> violations, int changes, int taken, List<Long> waits, long crashes, long cuts,
       long events) {}
 
-  /** A group of so many members that is disturbed for so many seconds, or left alone where {@code calm}. */
-  public GroupWorld(int members, int seconds, long seed, GroupMutant mutant, boolean calm) {
-    this.calm = calm;
+  /**
+   * Creates a simulation.
+   *
+   * @param seconds duration of the faults, in virtual time
+   * @param faultFree true to inject no faults
+   */
+  public GroupWorld(int memberCount, int seconds, long seed, GroupMutant mutant, boolean faultFree) {
+    this.faultFree = faultFree;
     this.mutant = mutant;
-    chance = new Chance(seed, 1);
-    faults = new Chance(seed, 2);
-    faultsEnd = START + seconds * SECOND;
-    loss = faults.happens(0.5) && !calm ? 0.03 : 0;
-    for (int i = 0; i < members; i++) {
-      all.add(new Member("m" + i));
+    random = new Chance(seed, 1);
+    faultRandom = new Chance(seed, 2);
+    faultsEnd = START_MICROS + seconds * SECOND;
+    messageLoss = faultRandom.happens(0.5) && !faultFree ? 0.03 : 0;
+    for (int i = 0; i < memberCount; i++) {
+      allMembers.add(new Member("m" + i));
     }
-    all.forEach(member -> machines.put(member.name(), new Machine(member)));
+    allMembers.forEach(member -> machines.put(member.name(), new MemberMachine(member)));
   }
 
-  /** Runs it to its end. */
+  /** Runs the simulation to its end. */
   public Outcome run() {
-    machines.values().forEach(Machine::start);
-    nextFault();
+    machines.values().forEach(MemberMachine::start);
+    scheduleFault();
     for (int operator = 0; operator < 2; operator++) {
-      nextChange(operator);
+      scheduleChange(operator);
     }
-    watch();
+    scheduleCheck();
     time.at(faultsEnd, () -> {
-      cutUntil.clear();
-      if (!calm) {
-        machines.values().forEach(Machine::startAgain);
+      linkCutUntil.clear();
+      if (!faultFree) {
+        machines.values().forEach(MemberMachine::resumeAndRestart);
       }
     });
-    time.runUntil(faultsEnd + QUIET);
+    time.runUntil(faultsEnd + RECOVERY_MICROS);
     Map<String, Long> versions = new LinkedHashMap<>();
-    machines.forEach((name, machine) -> versions.put(name, machine.settled()));
+    machines.forEach((name, machine) -> versions.put(name, machine.versionInForce()));
     checker.ends(time.now(), versions);
-    List<String> violations = checker.violations().stream().map(broken ->
-        broken.rule() + " at " + (broken.at() - START) / MILLI + " ms: " + broken.what()).toList();
-    return new Outcome(violations, changes, checker.taken(), checker.waits(), crashes, cuts, time.handled());
+    List<String> violations = checker.violations().stream().map(violation -> violation.rule() + " at "
+        + (violation.at() - START_MICROS) / MILLISECOND + " ms: " + violation.what()).toList();
+    return new Outcome(violations, changeCount, checker.taken(), checker.waits(), crashCount, cutCount, time.handled());
   }
 
-  private void watch() {
-    time.after(LOOK, () -> {
-      for (Machine machine : machines.values()) {
-        checker.decides(time.now(), machine.name(), machine.decides());
+  private void scheduleCheck() {
+    time.after(CHECK_INTERVAL_MICROS, () -> {
+      for (MemberMachine machine : machines.values()) {
+        checker.decides(time.now(), machine.name(), machine.usableVersion());
         Member leader = machine.member == null ? null : machine.member.leader();
         if (leader != null) {
           checker.leads(time.now(), machine.member.term(), leader.name());
         }
       }
-      watch();
+      scheduleCheck();
     });
   }
 
-  private void nextFault() {
-    time.after((long) faults.exponential(700 * MILLI), () -> {
-      if (time.now() < faultsEnd && !calm) {
-        fault();
-        nextFault();
+  private void scheduleFault() {
+    time.after((long) faultRandom.exponential(700 * MILLISECOND), () -> {
+      if (time.now() < faultsEnd && !faultFree) {
+        injectFault();
+        scheduleFault();
       }
     });
   }
 
-  private void fault() {
-    Machine one = any();
-    Machine other = any();
-    long length = faults.between(100 * MILLI, 6 * SECOND);
-    switch (faults.below(8)) {
-      case 0, 1 -> one.crash(faults.happens(0.5) ? 0 : length);
-      case 2 -> one.pause(length);
-      case 3 -> cut(one, other, length);
+  private void injectFault() {
+    MemberMachine target = randomMachine();
+    MemberMachine other = randomMachine();
+    long durationMicros = faultRandom.between(100 * MILLISECOND, 6 * SECOND);
+    switch (faultRandom.below(8)) {
+      case 0, 1 -> target.crash(faultRandom.happens(0.5) ? 0 : durationMicros);
+      case 2 -> target.pause(durationMicros);
+      case 3 -> cutLink(target, other, durationMicros);
       case 4 -> {
-        cut(one, other, length);
-        cut(other, one, length);
+        cutLink(target, other, durationMicros);
+        cutLink(other, target, durationMicros);
       }
       case 5 -> machines.values().forEach(each -> {
-        cut(one, each, length);
-        cut(each, one, length);
+        cutLink(target, each, durationMicros);
+        cutLink(each, target, durationMicros);
       });
-      case 6 -> flap(one, other, 8);
+      case 6 -> flapLink(target, other, 8);
       default -> {
-        one.disk.fail();
-        time.after(length, () -> one.crash(0));
+        target.disk.fail();
+        time.after(durationMicros, () -> target.crash(0));
       }
     }
   }
 
-  private void flap(Machine one, Machine other, int left) {
-    if (left > 0) {
-      cut(one, other, 300 * MILLI);
-      time.after(600 * MILLI, () -> flap(one, other, left - 1));
+  private void flapLink(MemberMachine from, MemberMachine to, int remaining) {
+    if (remaining > 0) {
+      cutLink(from, to, 300 * MILLISECOND);
+      time.after(600 * MILLISECOND, () -> flapLink(from, to, remaining - 1));
     }
   }
 
-  private void cut(Machine from, Machine to, long length) {
+  private void cutLink(MemberMachine from, MemberMachine to, long durationMicros) {
     if (from != to && time.now() < faultsEnd) {
-      cuts++;
-      cutUntil.merge(from.name() + '>' + to.name(), time.now() + length, Math::max);
+      cutCount++;
+      linkCutUntil.merge(from.name() + '>' + to.name(), time.now() + durationMicros, Math::max);
     }
   }
 
-  private Machine any() {
-    return machines.get(all.get(faults.below(all.size())).name());
+  private MemberMachine randomMachine() {
+    return machines.get(allMembers.get(faultRandom.below(allMembers.size())).name());
   }
 
-  private void nextChange(int operator) {
-    time.after(chance.between(200 * MILLI, 3 * SECOND), () -> {
+  private void scheduleChange(int operator) {
+    time.after(random.between(200 * MILLISECOND, 3 * SECOND), () -> {
       if (time.now() < faultsEnd) {
         long base = machines.values().stream().filter(machine -> machine.member != null)
             .mapToLong(machine -> machine.member.rollout().latest()).max().orElse(0);
-        Change change = new Change("c" + operator + "-" + changes++, base, "document " + changes);
+        Change change = new Change("c" + operator + "-" + changeCount++, base, "document " + changeCount);
         checker.asked(change);
-        ask(operator, change);
+        requestChange(operator, change);
       }
     });
   }
 
-  /** Asks any member, and on until one knows what became of it. */
-  private void ask(int operator, Change change) {
-    Machine machine = machines.get(all.get(chance.below(all.size())).name());
-    boolean[] ended = new boolean[1];
-    Runnable again = () -> {
-      if (!ended[0]) {
-        ended[0] = true;
-        time.after(AGAIN, () -> ask(operator, change));
+  /** Sends a change to a random member, and retries until one returns a result. */
+  private void requestChange(int operator, Change change) {
+    MemberMachine machine = machines.get(allMembers.get(random.below(allMembers.size())).name());
+    boolean[] attemptEnded = new boolean[1];
+    Runnable retry = () -> {
+      if (!attemptEnded[0]) {
+        attemptEnded[0] = true;
+        time.after(RETRY_DELAY_MICROS, () -> requestChange(operator, change));
       }
     };
     if (machine.member == null || machine.pausedUntil > time.now()) {
-      again.run();
+      retry.run();
       return;
     }
     if (mutant == GroupMutant.ANSWERS_UNDECIDED && machine.self.equals(machine.member.leader())) {
       checker.answered(time.now(), change, new Verdict(true, change.base() + 1));
     }
     machine.member.change(change).whenComplete((answer, fault) -> {
-      if (fault == null && !ended[0]) {
-        ended[0] = true;
+      if (fault == null && !attemptEnded[0]) {
+        attemptEnded[0] = true;
         checker.answered(time.now(), change, answer.getResult());
-        nextChange(operator);
+        scheduleChange(operator);
       } else {
-        again.run();
+        retry.run();
       }
     });
-    time.after(5 * SECOND, again);
+    time.after(5 * SECOND, retry);
   }
 
-  /** The machine of one member: its disk lives on when its process dies. */
-  private final class Machine implements GroupMember.Listener, MachineExecutor.Machine {
+  /** The machine of one member, whose disk survives crashes of the process. */
+  private final class MemberMachine implements GroupMember.Listener, MachineExecutor.Machine {
     private final Member self;
     private final EmulatedDisk disk;
-    private final List<byte[]> copies = new ArrayList<>();
+    private final List<byte[]> contentsAtStarts = new ArrayList<>();
     private GroupMember member;
-    private final double rate; // of its clock
-    private Leases.Holder holder = new Leases.Holder();
-    private Leases.Granter granter;
+    private final double clockRate;
+    private Leases.Holder leaseHolder = new Leases.Holder();
+    private Leases.Granter leaseGranter;
     private int granterTerm = -1;
     private int life;
     private long pausedUntil;
 
-    Machine(Member self) {
+    MemberMachine(Member self) {
       this.self = self;
-      boolean forces = mutant != GroupMutant.ACKNOWLEDGES_UNFORCED;
-      disk = new EmulatedDisk(new Chance(faults.bits(), 3), forces);
-      rate = 1 + Leases.DRIFT / 2 * (2 * faults.part() - 1);
+      boolean forceWorks = mutant != GroupMutant.ACKNOWLEDGES_UNFORCED;
+      disk = new EmulatedDisk(new Chance(faultRandom.bits(), 3), forceWorks);
+      clockRate = 1 + Leases.DRIFT / 2 * (2 * faultRandom.part() - 1);
     }
 
-    /** Its own monotonic clock. */
-    private long clock() {
-      return START + (long) ((time.now() - START) * rate);
+    /** Time of the machine's monotonic clock, in microseconds. */
+    private long clockMicros() {
+      return START_MICROS + (long) ((time.now() - START_MICROS) * clockRate);
     }
 
-    /** The version that it would decide by at this moment, or -1. */
-    long decides() {
+    /** The version that the member may decide by now, or -1 for none. */
+    long usableVersion() {
       if (member == null || time.now() < pausedUntil) {
         return -1;
       }
@@ -230,86 +245,88 @@
       return switch (mutant) {
         case SKIPS_LEASE -> rollout.pending() ? -1 : rollout.inForce();
         case DECIDES_WHILE_PENDING -> rollout.pending() ? rollout.inForce()
-            : holder.decides(clock(), member.applied(), rollout);
-        case IGNORES_INDEX -> holder.decides(clock(), Long.MAX_VALUE, rollout);
-        default -> holder.decides(clock(), member.applied(), rollout);
+            : leaseHolder.decides(clockMicros(), member.applied(), rollout);
+        case IGNORES_INDEX -> leaseHolder.decides(clockMicros(), Long.MAX_VALUE, rollout);
+        default -> leaseHolder.decides(clockMicros(), member.applied(), rollout);
       };
     }
 
-    /** The version that is in force here, or -1 while a change is under way. */
-    long settled() {
+    /** The version that the member knows to be in force, or -1 while a change is pending. */
+    long versionInForce() {
       return member == null || member.rollout().pending() ? -1 : member.rollout().inForce();
     }
 
-    private boolean leads() {
+    private boolean isLeader() {
       return member != null && self.equals(member.leader());
     }
 
-    /** What a member does again and again, on its own thread. */
-    private void turn(int ofLife, long renewAt) {
+    /** Does the periodic work of a member and schedules itself again. */
+    private void runTurn(int ownIncarnation, long renewAt) {
       Member leader = member.leader();
       Rollout rollout = member.rollout();
-      if (leads()) {
-        lead(rollout);
+      if (isLeader()) {
+        actAsLeader(rollout);
       }
-      boolean renews = clock() >= renewAt;
+      boolean renews = clockMicros() >= renewAt;
       if (leader != null) {
-        Machine to = machines.get(leader.name());
+        MemberMachine to = machines.get(leader.name());
         if (rollout.pending() && !rollout.prepared().contains(name())) {
           byte[] prepared = Rollout.prepared(name(), rollout.latest());
-          note(to, () -> to.member.command(prepared));
+          send(to, () -> to.member.command(prepared));
         }
         if (renews) {
-          long askedAt = clock();
-          note(to, () -> to.grant(this, askedAt));
+          long requestedAt = clockMicros();
+          send(to, () -> to.onLeaseRequest(this, requestedAt));
         }
       }
-      executor(ofLife).schedule(() -> turn(ofLife, renews ? clock() + RENEW : renewAt), TURN, TimeUnit.MICROSECONDS);
+      executor(ownIncarnation).schedule(
+          () -> runTurn(ownIncarnation, renews ? clockMicros() + LEASE_RENEWAL_MICROS : renewAt),
+          MEMBER_TURN_MICROS, TimeUnit.MICROSECONDS);
     }
 
-    private void lead(Rollout rollout) {
+    private void actAsLeader(Rollout rollout) {
       if (granterTerm != member.term()) {
         granterTerm = member.term();
-        granter = new Leases.Granter(mutant == GroupMutant.FORGETS_LEASES ? Long.MIN_VALUE / 2 : clock());
+        leaseGranter = new Leases.Granter(mutant == GroupMutant.FORGETS_LEASES ? Long.MIN_VALUE / 2 : clockMicros());
       }
-      List<String> members = all.stream().map(Member::name).toList();
+      List<String> members = allMembers.stream().map(Member::name).toList();
       byte[] command = mutant == GroupMutant.CONCLUDES_EARLY && rollout.pending()
-          ? Rollout.conclude(rollout.latest(), true) : granter.conclude(clock(), members, rollout);
+          ? Rollout.conclude(rollout.latest(), true) : leaseGranter.conclude(clockMicros(), members, rollout);
       if (command != null) {
         member.command(command);
       }
     }
 
-    /** Another asks for a lease: it gets one where a majority confirms that this one leads. */
-    private void grant(Machine asker, long askedAt) {
+    /** Grants the requester a lease if a majority confirms that this member leads. */
+    private void onLeaseRequest(MemberMachine requester, long requestedAt) {
       int term = member.term();
-      int ofLife = life;
-      if (!leads() || granterTerm != term) {
+      int ownIncarnation = life;
+      if (!isLeader() || granterTerm != term) {
         return;
       }
       member.confirm().whenComplete((confirmed, fault) -> {
-        if (fault == null && life == ofLife && leads() && member.term() == term
-            && granter.grants(asker.name(), clock(), member.rollout())) {
-          int askerLife = asker.life;
-          note(asker, () -> {
-            if (asker.life == askerLife) {
+        if (fault == null && life == ownIncarnation && isLeader() && member.term() == term
+            && leaseGranter.grants(requester.name(), clockMicros(), member.rollout())) {
+          int requesterIncarnation = requester.life;
+          send(requester, () -> {
+            if (requester.life == requesterIncarnation) {
               boolean stretches = mutant == GroupMutant.STRETCHES_LEASE;
-              long from = stretches ? asker.clock() + 2 * Leases.LENGTH : askedAt;
-              asker.holder.granted(from, confirmed.getCommitIndex());
+              long leaseStart = stretches ? requester.clockMicros() + 2 * Leases.LENGTH : requestedAt;
+              requester.leaseHolder.granted(leaseStart, confirmed.getCommitIndex());
             }
           });
         }
       });
     }
 
-    /** Has something done at another member, on its thread, when a message has reached it. */
-    private void note(Machine to, Runnable then) {
+    /** Sends a message to a member, which runs {@code onArrival} on its executor when the message arrives. */
+    private void send(MemberMachine to, Runnable onArrival) {
       if (to == this) {
-        executor(life).execute(then);
+        executor(life).execute(onArrival);
       } else {
-        new Links(life).carry(to, () -> {
+        new FaultyTransport(life).transmit(to, () -> {
           if (to.member != null) {
-            to.executor(to.life).execute(then);
+            to.executor(to.life).execute(onArrival);
           }
         });
       }
@@ -319,8 +336,8 @@
       return self.name();
     }
 
-    private MachineExecutor executor(int ofLife) {
-      return new MachineExecutor(time, this, ofLife);
+    private MachineExecutor executor(int ownIncarnation) {
+      return new MachineExecutor(time, this, ownIncarnation);
     }
 
     @Override
@@ -335,49 +352,49 @@
 
     void start() {
       life++;
-      int ofLife = life;
-      holder = new Leases.Holder();
+      int ownIncarnation = life;
+      leaseHolder = new Leases.Holder();
       granterTerm = -1;
-      copies.add(disk.read());
+      contentsAtStarts.add(disk.read());
       try {
-        Log log = new Log(Defects.disk(mutant, disk, copies));
+        Log log = new Log(Defects.disk(mutant, disk, contentsAtStarts));
         Rollout rollout = new Rollout(Defects.sequence(mutant));
-        member = new GroupMember(self, all, log, rollout, new Links(ofLife), executor(ofLife), new MonotonicClock(time),
-            chance.bits(), this);
-      } catch (IOException refused) {
-        throw new IllegalStateException(name() + " refuses its log", refused);
+        member = new GroupMember(self, allMembers, log, rollout, new FaultyTransport(ownIncarnation),
+            executor(ownIncarnation), new MonotonicClock(time), random.bits(), this);
+      } catch (IOException invalid) {
+        throw new IllegalStateException("log of " + name() + " is not valid", invalid);
       }
       member.start();
-      executor(ofLife).execute(() -> turn(ofLife, clock()));
+      executor(ownIncarnation).execute(() -> runTurn(ownIncarnation, clockMicros()));
     }
 
-    void startAgain() {
+    void resumeAndRestart() {
       pausedUntil = 0;
       crash(0);
     }
 
-    void crash(long away) {
-      crashes++;
+    void crash(long downtimeMicros) {
+      crashCount++;
       life++;
       member = null;
       disk.crash();
-      int ofLife = life;
-      time.after(away, () -> {
-        if (life == ofLife) {
+      int ownIncarnation = life;
+      time.after(downtimeMicros, () -> {
+        if (life == ownIncarnation) {
           start();
         }
       });
     }
 
-    /** Stops it as SIGSTOP does: what comes waits, and is handled late. */
-    void pause(long length) {
-      pausedUntil = Math.max(pausedUntil, time.now() + length);
+    /** Suspends the process as SIGSTOP does: messages that arrive meanwhile are handled when it resumes. */
+    void pause(long durationMicros) {
+      pausedUntil = Math.max(pausedUntil, time.now() + durationMicros);
     }
 
-    void take(RaftMessage message) {
+    void receive(RaftMessage message) {
       if (member != null) {
-        int ofLife = life;
-        executor(ofLife).execute(() -> {
+        int ownIncarnation = life;
+        executor(ownIncarnation).execute(() -> {
           try {
             member.handle(message);
             if (member.stuck()) {
@@ -397,37 +414,38 @@
 
     @Override
     public void installed(long index) {
-      // what it says of the log is checked as the member goes on by it
+      // a wrong snapshot shows in the entries and versions that the member reports after it
     }
 
-    /** Links to the others, which lose, delay and reorder. */
-    private final class Links implements Transport {
-      private final int ofLife;
+    /** Links to the other members, which lose, delay and reorder messages. */
+    private final class FaultyTransport implements Transport {
+      private final int ownIncarnation;
 
-      Links(int ofLife) {
-        this.ofLife = ofLife;
+      FaultyTransport(int ownIncarnation) {
+        this.ownIncarnation = ownIncarnation;
       }
 
       @Override
       public void send(RaftEndpoint to, RaftMessage message) {
-        Machine target = machines.get((String) to.getId());
-        carry(target, () -> target.take(message));
+        MemberMachine target = machines.get((String) to.getId());
+        transmit(target, () -> target.receive(message));
       }
 
-      private void carry(Machine target, Runnable arrives) {
-        if (life != ofLife || !whole(target) || chance.happens(loss)) {
+      private void transmit(MemberMachine target, Runnable onArrival) {
+        if (life != ownIncarnation || !isLinkUp(target) || random.happens(messageLoss)) {
           return;
         }
-        long delay = chance.between(MILLI / 5, 5 * MILLI) + (chance.happens(0.02) ? chance.between(0, SECOND) : 0);
-        time.after(delay, () -> {
-          if (whole(target)) {
-            arrives.run();
+        long delayMicros = random.between(MILLISECOND / 5, 5 * MILLISECOND)
+            + (random.happens(0.02) ? random.between(0, SECOND) : 0);
+        time.after(delayMicros, () -> {
+          if (isLinkUp(target)) {
+            onArrival.run();
           }
         });
       }
 
-      private boolean whole(Machine target) {
-        return time.now() >= cutUntil.getOrDefault(name() + '>' + target.name(), 0L);
+      private boolean isLinkUp(MemberMachine target) {
+        return time.now() >= linkCutUntil.getOrDefault(name() + '>' + target.name(), 0L);
       }
 
       @Override
--- a/lab/src/main/java/amberhoist/lab/group/MachineExecutor.java
+++ b/lab/src/main/java/amberhoist/lab/group/MachineExecutor.java
@@ -5,37 +5,37 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs the tasks of one life of a machine, one after the other, in virtual time: none after that life has ended, and
- * late where the machine stands still.
+ * Runs the tasks of one incarnation of a machine's process in virtual time. Tasks are dropped once the process has
+ * ended, and delayed while it is suspended.
  */
 public final class MachineExecutor implements RaftNodeExecutor {
-  /** The machine. */
+  /** The machine whose process runs the tasks. */
   public interface Machine {
-    /** Differs with each start. */
+    /** Number of the current incarnation; changes with every start and crash. */
     int life();
 
-    /** Until when it stands still. */
+    /** Virtual time in microseconds until which the process is suspended; in the past if it runs. */
     long pausedUntil();
   }
 
   private final VirtualTime time;
   private final Machine machine;
-  private final int life;
+  private final int incarnation;
 
-  /** An executor for this life of the machine. */
-  public MachineExecutor(VirtualTime time, Machine machine, int life) {
+  /** Creates an executor for this incarnation of the machine's process. */
+  public MachineExecutor(VirtualTime time, Machine machine, int incarnation) {
     this.time = time;
     this.machine = machine;
-    this.life = life;
+    this.incarnation = incarnation;
   }
 
-  private void at(long when, Runnable task) {
-    time.at(Math.max(when, machine.pausedUntil()), () -> {
-      if (machine.life() != life) {
+  private void scheduleAt(long micros, Runnable task) {
+    time.at(Math.max(micros, machine.pausedUntil()), () -> {
+      if (machine.life() != incarnation) {
         return;
       }
       if (time.now() < machine.pausedUntil()) {
-        at(machine.pausedUntil(), task);
+        scheduleAt(machine.pausedUntil(), task);
       } else {
         task.run();
       }
@@ -44,16 +44,16 @@
 
   @Override
   public void execute(Runnable task) {
-    at(time.now(), task);
+    scheduleAt(time.now(), task);
   }
 
   @Override
   public void submit(Runnable task) {
-    at(time.now(), task);
+    scheduleAt(time.now(), task);
   }
 
   @Override
   public void schedule(Runnable task, long delay, TimeUnit unit) {
-    at(time.now() + unit.toMicros(delay), task);
+    scheduleAt(time.now() + unit.toMicros(delay), task);
   }
 }
--- a/lab/src/main/java/amberhoist/lab/group/package-info.java
+++ b/lab/src/main/java/amberhoist/lab/group/package-info.java
@@ -1,2 +1,2 @@
-/** The group of proxies in virtual time: the real members under faults, their histories, and a checker of these. */
+/** Simulation of a group: real members under faults in virtual time, and a checker of their histories. */
 package amberhoist.lab.group;
