--- a/lab/src/main/java/amberhoist/lab/scale/ControllerMachine.java
+++ b/lab/src/main/java/amberhoist/lab/scale/ControllerMachine.java
@@ -26,34 +26,39 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** The machine of a controller: its disk outlives its process. */
+/** The machine of a controller, whose disk survives crashes of the process. */
 final class ControllerMachine implements Network.Site, GroupMember.Listener, MachineExecutor.Machine {
-  /** Where the other machines are, and who is told what happens here. */
+  /** Access to the other machines, and callbacks for replies and applied log entries. */
   interface Surroundings {
+    /** Returns the controller of this name. */
     ControllerMachine controller(String name);
 
+    /** All controllers. */
     List<Member> members();
 
+    /** The controllers that vote. */
     List<Member> voters();
 
+    /** Sends a distributor's reply to a proxy. */
     void reply(ControllerMachine from, String proxy, Message.Reply reply);
 
+    /** A controller has applied an entry of the log; {@code verdict} is null unless it proposes a change. */
     void applied(ControllerMachine at, byte[] command, Verdict verdict);
   }
 
-  private static final long TURN = 50_000;
-  private static final int RAFT_OVERHEAD = 64; // bytes of a message between members, beside its entries
+  private static final long TURN_MICROS = 50_000;
+  private static final int RAFT_OVERHEAD_BYTES = 64; // of a message between members, and of each entry
 
   private final VirtualTime time;
   private final Network network;
-  private final Surroundings surroundings;
+  private final Surroundings environment;
   private final DistributionSettings settings;
   private final ScaleMutant mutant;
   private final Member self;
   private final int zone;
-  private final long start;
-  private final double rate;
-  private final Chance chance;
+  private final long startMicros;
+  private final double clockRate;
+  private final Chance random;
   private final EmulatedDisk disk;
   private GroupMember member;
   private Controller controller;
@@ -65,27 +70,27 @@
   private long nanos;
   private int mostSubscribers;
 
-  ControllerMachine(VirtualTime time, Network network, Surroundings surroundings, DistributionSettings settings,
-      ScaleMutant mutant, Member self, int zone, Chance chance) {
+  ControllerMachine(VirtualTime time, Network network, Surroundings environment, DistributionSettings settings,
+      ScaleMutant mutant, Member self, int zone, Chance random) {
     this.time = time;
     this.network = network;
-    this.surroundings = surroundings;
+    this.environment = environment;
     this.settings = settings;
     this.mutant = mutant;
     this.self = self;
     this.zone = zone;
-    this.chance = chance;
-    start = time.now();
-    rate = 1 + Leases.DRIFT / 2 * (2 * chance.part() - 1);
-    disk = new EmulatedDisk(new Chance(chance.bits(), 3), true);
+    this.random = random;
+    startMicros = time.now();
+    clockRate = 1 + Leases.DRIFT / 2 * (2 * random.part() - 1);
+    disk = new EmulatedDisk(new Chance(random.bits(), 3), true);
   }
 
   String name() {
     return self.name();
   }
 
-  private MachineExecutor executor(int ofLife) {
-    return new MachineExecutor(time, this, ofLife);
+  private MachineExecutor executor(int ownIncarnation) {
+    return new MachineExecutor(time, this, ownIncarnation);
   }
 
   @Override
@@ -99,78 +104,79 @@
   }
 
   long clock() {
-    return start + (long) ((time.now() - start) * rate);
+    return startMicros + (long) ((time.now() - startMicros) * clockRate);
   }
 
   void start() {
     life++;
-    int ofLife = life;
+    int ownIncarnation = life;
     distributor = ScaleDefects.distributor(mutant, settings, clock(),
-        (proxy, reply) -> surroundings.reply(this, proxy, reply));
-    List<String> names = names(surroundings.members());
-    if (surroundings.voters().contains(self)) {
-      member = newMember(ofLife);
-      controller = Controller.member(self, names, member, distributor, this::tell, this::clock);
+        (proxy, reply) -> environment.reply(this, proxy, reply));
+    List<String> names = names(environment.members());
+    if (environment.voters().contains(self)) {
+      member = newMember(ownIncarnation);
+      controller = Controller.member(self, names, member, distributor, this::sendToPeer, this::clock);
       member.start();
     } else {
-      List<String> voters = names(surroundings.voters());
-      controller = Controller.replica(name(), names, voters, distributor, this::tell, this::clock);
+      List<String> voters = names(environment.voters());
+      controller = Controller.replica(name(), names, voters, distributor, this::sendToPeer, this::clock);
     }
     controller.learned();
-    executor(ofLife).execute(() -> turn(ofLife));
+    executor(ownIncarnation).execute(() -> runTurn(ownIncarnation));
   }
 
   private static List<String> names(List<Member> members) {
     return members.stream().map(Member::name).toList();
   }
 
-  private GroupMember newMember(int ofLife) {
+  private GroupMember newMember(int ownIncarnation) {
     try {
-      List<Member> voters = surroundings.voters();
-      return new GroupMember(self, voters, new Log(disk), new Rollout(new Sequence()), new Links(ofLife),
-          executor(ofLife), new MonotonicClock(time), chance.bits(), this);
-    } catch (IOException refused) {
-      throw new IllegalStateException(name() + " refuses its log", refused);
+      List<Member> voters = environment.voters();
+      return new GroupMember(self, voters, new Log(disk), new Rollout(new Sequence()),
+          new PeerTransport(ownIncarnation), executor(ownIncarnation), new MonotonicClock(time), random.bits(), this);
+    } catch (IOException invalid) {
+      throw new IllegalStateException("log of " + name() + " is not valid", invalid);
     }
   }
 
-  private void turn(int ofLife) {
-    work(controller::turn);
+  private void runTurn(int ownIncarnation) {
+    runTimed(controller::turn);
     mostSubscribers = Math.max(mostSubscribers, distributor.subscribers());
-    executor(ofLife).schedule(() -> turn(ofLife), TURN, TimeUnit.MICROSECONDS);
+    executor(ownIncarnation).schedule(() -> runTurn(ownIncarnation), TURN_MICROS, TimeUnit.MICROSECONDS);
   }
 
-  private void work(Runnable task) {
-    long before = System.nanoTime();
+  private void runTimed(Runnable task) {
+    long startNanos = System.nanoTime();
     task.run();
-    nanos += System.nanoTime() - before;
+    nanos += System.nanoTime() - startNanos;
   }
 
-  /** Ends its process without a word, and starts it after so many micros. */
-  void crash(long away) {
+  /** Crashes the process, and restarts it after {@code downtimeMicros}. */
+  void crash(long downtimeMicros) {
     life++;
     member = null;
     controller = null;
     distributor = null;
     disk.crash();
-    int ofLife = life;
-    time.after(away, () -> {
-      if (life == ofLife) {
+    int ownIncarnation = life;
+    time.after(downtimeMicros, () -> {
+      if (life == ownIncarnation) {
         start();
       }
     });
   }
 
-  /** Stops it as SIGSTOP does: what comes waits, and is handled late. */
-  void pause(long length) {
-    pausedUntil = Math.max(pausedUntil, time.now() + length);
+  /** Suspends the process as SIGSTOP does: messages that arrive meanwhile are handled when it resumes. */
+  void pause(long durationMicros) {
+    pausedUntil = Math.max(pausedUntil, time.now() + durationMicros);
   }
 
-  void cut(long until) {
-    cutUntil = Math.max(cutUntil, until);
+  /** Cuts the machine off from all others until this time. */
+  void cut(long untilMicros) {
+    cutUntil = Math.max(cutUntil, untilMicros);
   }
 
-  /** Lets it go on and joins it to the others. */
+  /** Resumes the process and reconnects it to the others. */
   void heal() {
     pausedUntil = 0;
     cutUntil = 0;
@@ -192,15 +198,15 @@
     return distributor;
   }
 
-  /** Has this done on its thread, unless its process ends before. */
+  /** Runs a task on the controller's executor, unless the process is down or ends before. */
   void execute(Runnable task) {
     if (controller != null) {
-      executor(life).execute(() -> work(task));
+      executor(life).execute(() -> runTimed(task));
     }
   }
 
-  void counted(int length) {
-    bytes += length;
+  void counted(int byteCount) {
+    bytes += byteCount;
   }
 
   long bytes() {
@@ -215,15 +221,15 @@
     return mostSubscribers;
   }
 
-  private void tell(String name, PeerMessage message) {
-    ControllerMachine to = surroundings.controller(name);
+  private void sendToPeer(String name, PeerMessage message) {
+    ControllerMachine to = environment.controller(name);
     if (to == this) {
       execute(() -> controller.receive(name(), message));
       return;
     }
-    counted(RAFT_OVERHEAD);
+    counted(RAFT_OVERHEAD_BYTES);
     network.carry(this, to, () -> {
-      to.counted(RAFT_OVERHEAD);
+      to.counted(RAFT_OVERHEAD_BYTES);
       to.execute(() -> to.controller.receive(name(), message));
     });
   }
@@ -231,7 +237,7 @@
   @Override
   public void applied(long index, byte[] command, Verdict verdict) {
     controller.learned();
-    surroundings.applied(this, command, verdict);
+    environment.applied(this, command, verdict);
   }
 
   @Override
@@ -250,29 +256,30 @@
   }
 
   private static int length(RaftMessage message) {
-    int length = RAFT_OVERHEAD;
+    int length = RAFT_OVERHEAD_BYTES;
     if (message instanceof AppendEntriesRequest request) {
       for (LogEntry entry : request.getLogEntries()) {
-        length += entry.getOperation() instanceof byte[] command ? command.length + RAFT_OVERHEAD : RAFT_OVERHEAD;
+        length += entry.getOperation() instanceof byte[] command ? command.length + RAFT_OVERHEAD_BYTES
+            : RAFT_OVERHEAD_BYTES;
       }
     }
     return length;
   }
 
-  /** Messages of the agreement library to the other controllers. */
-  private final class Links implements Transport {
-    private final int ofLife;
+  /** Carries messages of the Raft library to the other controllers. */
+  private final class PeerTransport implements Transport {
+    private final int ownIncarnation;
 
-    Links(int ofLife) {
-      this.ofLife = ofLife;
+    PeerTransport(int ownIncarnation) {
+      this.ownIncarnation = ownIncarnation;
     }
 
     @Override
     public void send(RaftEndpoint endpoint, RaftMessage message) {
-      if (life != ofLife) {
+      if (life != ownIncarnation) {
         return;
       }
-      ControllerMachine to = surroundings.controller((String) endpoint.getId());
+      ControllerMachine to = environment.controller((String) endpoint.getId());
       int length = length(message);
       counted(length);
       network.carry(ControllerMachine.this, to, () -> {
--- a/lab/src/main/java/amberhoist/lab/scale/HollowProxy.java
+++ b/lab/src/main/java/amberhoist/lab/scale/HollowProxy.java
@@ -9,157 +9,164 @@
 import java.util.Random;
 import java.util.random.RandomGenerator;
 
-/** A proxy without relay and clients: its subscriber, its clock, and what its control costs. */
+/** A control-plane-only proxy, without relay and clients: a subscriber with its clock and the cost of its work. */
 final class HollowProxy implements Network.Site {
-  /** Takes a proxy's requests to distributors, and is told when its decisions may have changed. */
+  /** Callbacks for a proxy's requests to distributors and for changes of its state. */
   interface Surroundings {
+    /** Sends a request to a distributor. */
     void request(HollowProxy from, int life, String distributor, Message.Request request);
 
+    /** The version that the proxy decides by may have changed. */
     void observed(HollowProxy proxy);
   }
 
-  private static final long DOWN = Long.MAX_VALUE;
+  private static final long WHILE_DOWN = Long.MAX_VALUE;
 
   private final VirtualTime time;
-  private final long start;
+  private final long startMicros;
   private final int number;
   private final int zone;
-  private final double rate;
+  private final double clockRate;
   private final List<String> distributors;
   private final DistributionSettings settings;
-  private final Surroundings surroundings;
-  private final RandomGenerator random;
+  private final Surroundings environment;
+  private final RandomGenerator subscriberRandom;
   private final ScaleMutant mutant;
   private Subscriber subscriber;
   private int life;
   private long scheduledAt = Long.MAX_VALUE;
   private long cutUntil;
-  private long disturbedAt;
+  private long lastDisturbedAt;
   private long bytes;
   private long windowBytes;
   private long windowMost;
   private long nanos;
 
-  HollowProxy(VirtualTime time, int number, Topology topology, DistributionSettings settings, Chance chance,
-      ScaleMutant mutant, Surroundings surroundings) {
+  HollowProxy(VirtualTime time, int number, Topology topology, DistributionSettings settings, Chance random,
+      ScaleMutant mutant, Surroundings environment) {
     this.time = time;
     this.number = number;
     this.settings = settings;
-    this.surroundings = surroundings;
+    this.environment = environment;
     this.mutant = mutant;
-    start = time.now();
+    startMicros = time.now();
     zone = topology.zoneOfProxy(number);
     distributors = topology.distributorsOf(number);
-    rate = 1 + DistributionSettings.DRIFT / 2 * (2 * chance.part() - 1);
-    random = new Random(chance.bits());
-    disturbedAt = time.now();
+    clockRate = 1 + DistributionSettings.DRIFT / 2 * (2 * random.part() - 1);
+    subscriberRandom = new Random(random.bits());
+    lastDisturbedAt = time.now();
   }
 
-  /** Starts it anew, with nothing of its former life. */
+  /** Starts a new process, without any state of the previous one. */
   void start() {
     life++;
-    disturbedAt = time.now();
+    lastDisturbedAt = time.now();
     scheduledAt = Long.MAX_VALUE;
-    int ofLife = life;
-    subscriber = ScaleDefects.subscriber(mutant, settings, Topology.proxyName(number), life, distributors, random,
-        clock(), (distributor, request) -> surroundings.request(this, ofLife, distributor, request));
-    schedule();
+    int ownIncarnation = life;
+    subscriber = ScaleDefects.subscriber(mutant, settings, Topology.proxyName(number), life, distributors,
+        subscriberRandom, clockMicros(),
+        (distributor, request) -> environment.request(this, ownIncarnation, distributor, request));
+    scheduleNextStep();
   }
 
-  /** Ends it without a word, and starts it after so many micros. */
-  void restart(long away) {
+  /** Crashes the process, and restarts it after {@code downtimeMicros}. */
+  void restart(long downtimeMicros) {
     life++;
-    int ofLife = life;
+    int ownIncarnation = life;
     subscriber = null;
-    disturbedAt = DOWN;
-    time.after(away, () -> {
-      if (life == ofLife) {
+    lastDisturbedAt = WHILE_DOWN;
+    time.after(downtimeMicros, () -> {
+      if (life == ownIncarnation) {
         start();
       }
     });
   }
 
-  void cut(long until) {
-    cutUntil = Math.max(cutUntil, until);
-    disturbedAt = disturbedAt == DOWN ? DOWN : Math.max(disturbedAt, until);
+  /** Cuts the proxy off from all others until this time. */
+  void cut(long untilMicros) {
+    cutUntil = Math.max(cutUntil, untilMicros);
+    lastDisturbedAt = lastDisturbedAt == WHILE_DOWN ? WHILE_DOWN : Math.max(lastDisturbedAt, untilMicros);
   }
 
-  /** Its region is cut off until then. */
-  void isolated(long until) {
-    disturbedAt = disturbedAt == DOWN ? DOWN : Math.max(disturbedAt, until);
+  /** The proxy's region is cut off until this time. */
+  void isolated(long untilMicros) {
+    lastDisturbedAt = lastDisturbedAt == WHILE_DOWN ? WHILE_DOWN : Math.max(lastDisturbedAt, untilMicros);
   }
 
-  private long clock() {
-    return start + (long) ((time.now() - start) * rate);
+  private long clockMicros() {
+    return startMicros + (long) ((time.now() - startMicros) * clockRate);
   }
 
-  private long timeOf(long clock) {
-    return start + (long) Math.ceil((clock - start) / rate);
+  /** The virtual time at which the proxy's clock shows {@code clock}. */
+  private long virtualTimeOf(long clock) {
+    return startMicros + (long) Math.ceil((clock - startMicros) / clockRate);
   }
 
-  private void schedule() {
-    long next = Math.max(time.now() + 1, timeOf(subscriber.nextStep()));
+  private void scheduleNextStep() {
+    long next = Math.max(time.now() + 1, virtualTimeOf(subscriber.nextStep()));
     if (next < scheduledAt) {
       scheduledAt = next;
-      int ofLife = life;
+      int ownIncarnation = life;
       time.at(next, () -> {
-        if (life == ofLife && scheduledAt == next) {
+        if (life == ownIncarnation && scheduledAt == next) {
           scheduledAt = Long.MAX_VALUE;
-          long before = System.nanoTime();
-          subscriber.step(clock());
-          nanos += System.nanoTime() - before;
-          schedule();
+          long startNanos = System.nanoTime();
+          subscriber.step(clockMicros());
+          nanos += System.nanoTime() - startNanos;
+          scheduleNextStep();
         }
       });
     }
   }
 
-  /** A distributor's message has come, for this life. */
-  void receive(int forLife, String distributor, Message.Reply reply, int length) {
-    if (life != forLife || subscriber == null) {
+  /** A distributor's message to this incarnation of the process has arrived. */
+  void receive(int receiverLife, String distributor, Message.Reply reply, int byteCount) {
+    if (life != receiverLife || subscriber == null) {
       return;
     }
-    counted(length);
-    long before = System.nanoTime();
-    subscriber.receive(clock(), distributor, reply, length);
-    nanos += System.nanoTime() - before;
-    schedule();
-    surroundings.observed(this);
+    counted(byteCount);
+    long startNanos = System.nanoTime();
+    subscriber.receive(clockMicros(), distributor, reply, byteCount);
+    nanos += System.nanoTime() - startNanos;
+    scheduleNextStep();
+    environment.observed(this);
   }
 
-  /** Counts bytes that it has sent or received. */
-  void counted(int length) {
-    bytes += length;
-    windowBytes += length;
+  /** Counts bytes that the proxy has sent or received. */
+  void counted(int byteCount) {
+    bytes += byteCount;
+    windowBytes += byteCount;
   }
 
-  /** Ends a window of time over which its bytes are counted. */
+  /** Ends a time window over which bytes are counted, and starts the next. */
   void endWindow() {
     windowMost = Math.max(windowMost, windowBytes);
     windowBytes = 0;
   }
 
-  void worked(long nanoseconds) {
-    nanos += nanoseconds;
+  /** Counts processor time. */
+  void worked(long elapsedNanos) {
+    nanos += elapsedNanos;
   }
 
-  /** The version that it would decide by, or -1. */
+  /** The version that the proxy may decide by now, or -1 for none. */
   long decides() {
-    return subscriber == null ? -1 : subscriber.decides(clock());
+    return subscriber == null ? -1 : subscriber.decides(clockMicros());
   }
 
-  /** The version that it holds, or -1 while it is down. */
+  /** The version that the proxy holds, or -1 while it is down. */
   long holds() {
     return subscriber == null ? -1 : subscriber.held().version();
   }
 
+  /** The document that the proxy holds; the proxy must be up. */
   byte[] document() {
     return subscriber.held().bytes();
   }
 
-  /** Since when it has been up and joined to the others; in the future while it is not. */
+  /** The time since which the proxy has been up and connected; in the future while it is not. */
   long undisturbedSince() {
-    return disturbedAt;
+    return lastDisturbedAt;
   }
 
   int life() {
@@ -170,10 +177,12 @@
     return bytes;
   }
 
+  /** The largest number of bytes in one time window. */
   long windowMost() {
     return windowMost;
   }
 
+  /** Processor time in nanoseconds. */
   long nanos() {
     return nanos;
   }
--- a/lab/src/main/java/amberhoist/lab/scale/Network.java
+++ b/lab/src/main/java/amberhoist/lab/scale/Network.java
@@ -4,67 +4,67 @@
 import amberhoist.lab.emulator.VirtualTime;
 import java.util.Arrays;
 
-/** Carries messages with delay and jitter, and loses those over links that are cut. They may overtake each other. */
+/** Delivers messages with delay and jitter, possibly out of order, and drops those over links that are cut. */
 final class Network {
-  private static final double JITTER = 0.25;
-  private static final double SLOW_PART = 0.001; // of messages
-  private static final long SLOW_MOST = 400_000; // micros: a lost packet is sent again
+  private static final double MAX_JITTER_FRACTION = 0.25;
+  private static final double RETRANSMIT_FRACTION = 0.001; // messages with a retransmitted packet
+  private static final long MAX_RETRANSMIT_MICROS = 400_000;
 
-  /** A place from which messages come. */
+  /** A sender or receiver of messages. */
   interface Site {
-    /** The zone. */
+    /** The zone that it is in. */
     int zone();
 
-    /** Until when the site is cut off from all others. */
+    /** The time until which it is cut off from all others. */
     long cutUntil();
   }
 
   private final VirtualTime time;
   private final Topology topology;
-  private final Chance chance;
+  private final Chance random;
   private final long[] regionCutUntil;
 
-  Network(VirtualTime time, Topology topology, int regions, Chance chance) {
+  Network(VirtualTime time, Topology topology, int regions, Chance random) {
     this.time = time;
     this.topology = topology;
-    this.chance = chance;
+    this.random = random;
     regionCutUntil = new long[regions];
   }
 
-  /** Cuts a region off from all others, until then. */
-  void cutRegion(int region, long until) {
-    regionCutUntil[region] = Math.max(regionCutUntil[region], until);
+  /** Cuts a region off from all others until this time. */
+  void cutRegion(int region, long untilMicros) {
+    regionCutUntil[region] = Math.max(regionCutUntil[region], untilMicros);
   }
 
-  /** Joins all regions. */
+  /** Reconnects all regions. */
   void heal() {
     Arrays.fill(regionCutUntil, 0);
   }
 
-  /** Whether this zone's region is cut off from the others. */
+  /** Whether the region of a zone is cut off from the others. */
   boolean regionCut(int zone) {
     return time.now() < regionCutUntil[topology.regionOfZone(zone)];
   }
 
-  /** Has this done at the target when the message arrives, unless a link on its way is cut at either moment. */
-  void carry(Site from, Site to, Runnable arrives) {
-    if (cut(from, to)) {
+  /** Runs {@code onArrival} when the message arrives, unless the link is cut when it is sent or when it arrives. */
+  void carry(Site from, Site to, Runnable onArrival) {
+    if (isCut(from, to)) {
       return;
     }
-    double jitter = 1 + JITTER * chance.part();
-    long delay = (long) (topology.delay(from.zone(), to.zone()) * jitter);
-    delay += chance.happens(SLOW_PART) ? chance.between(0, SLOW_MOST) : 0;
-    time.after(delay, () -> {
-      if (!cut(from, to)) {
-        arrives.run();
+    double jitterFactor = 1 + MAX_JITTER_FRACTION * random.part();
+    long delayMicros = (long) (topology.delay(from.zone(), to.zone()) * jitterFactor);
+    delayMicros += random.happens(RETRANSMIT_FRACTION) ? random.between(0, MAX_RETRANSMIT_MICROS) : 0;
+    time.after(delayMicros, () -> {
+      if (!isCut(from, to)) {
+        onArrival.run();
       }
     });
   }
 
-  private boolean cut(Site from, Site to) {
+  private boolean isCut(Site from, Site to) {
     long now = time.now();
-    boolean regions = topology.regionOfZone(from.zone()) != topology.regionOfZone(to.zone())
+    boolean cutBetweenRegions = topology.regionOfZone(from.zone()) != topology.regionOfZone(to.zone())
         && (regionCut(from.zone()) || regionCut(to.zone()));
-    return regions || from != to && (now < from.cutUntil() || now < to.cutUntil());
+    return cutBetweenRegions || from != to && (now < from.cutUntil() || now < to.cutUntil());
   }
 }
--- a/lab/src/main/java/amberhoist/lab/scale/Operators.java
+++ b/lab/src/main/java/amberhoist/lab/scale/Operators.java
@@ -7,106 +7,106 @@
 import java.util.ArrayDeque;
 import java.util.List;
 
-/** Orders changes one after the other, and asks on until it knows what became of each. */
+/** Simulates operators: requests changes one after the other, and retries each until its result is known. */
 final class Operators {
-  private static final long AGAIN = 300_000; // micros: asks again after this without an answer
-  private static final long GIVE_UP = 5_000_000;
-  private static final double WHOLE_PART = 0.05; // of the changes replace most of the document
-  private static final int LINE = 64;
+  private static final long RETRY_DELAY_MICROS = 300_000;
+  private static final long ATTEMPT_TIMEOUT_MICROS = 5_000_000;
+  private static final double REPLACEMENT_FRACTION = 0.05; // changes that replace most of the document
+  private static final int LINE_BYTES = 64;
 
   private final VirtualTime time;
-  private final Chance chance;
+  private final Chance random;
   private final List<ControllerMachine> controllers;
   private final ScaleChecker checker;
   private final List<HollowProxy> proxies;
   private final int documentBytes;
-  private final Runnable begins; // is told of each change that an operator sends
-  private final ArrayDeque<Long> ordered = new ArrayDeque<>(); // times of the orders that wait their turn
-  private boolean busy;
-  private int count;
+  private final Runnable onChangeSent; // runs when a change is sent
+  private final ArrayDeque<Long> queuedAt = new ArrayDeque<>(); // request times of queued changes
+  private boolean changeInProgress;
+  private int startedCount;
   private int taken;
 
-  Operators(VirtualTime time, Chance chance, List<ControllerMachine> controllers, ScaleChecker checker,
-      List<HollowProxy> proxies, int documentBytes, Runnable begins) {
+  Operators(VirtualTime time, Chance random, List<ControllerMachine> controllers, ScaleChecker checker,
+      List<HollowProxy> proxies, int documentBytes, Runnable onChangeSent) {
     this.time = time;
-    this.chance = chance;
+    this.random = random;
     this.controllers = controllers;
     this.checker = checker;
     this.proxies = proxies;
     this.documentBytes = documentBytes;
-    this.begins = begins;
+    this.onChangeSent = onChangeSent;
   }
 
-  /** Orders one more change now. */
+  /** Requests one more change now; it is sent once all earlier ones have ended. */
   void order() {
-    ordered.add(time.now());
-    next();
+    queuedAt.add(time.now());
+    startNext();
   }
 
-  private void next() {
-    if (busy || ordered.isEmpty()) {
+  private void startNext() {
+    if (changeInProgress || queuedAt.isEmpty()) {
       return;
     }
-    busy = true;
-    ask(ordered.poll(), "change-" + count++, document());
+    changeInProgress = true;
+    sendChange(queuedAt.poll(), "change-" + startedCount++, newDocument());
   }
 
-  /** A document of which a line is new, or most of them. */
-  private byte[] document() {
+  /** Returns a document that differs from the previous one in one line, or in most of them. */
+  private byte[] newDocument() {
     StringBuilder text = new StringBuilder(documentBytes);
-    boolean whole = chance.happens(WHOLE_PART);
-    text.append("change = ").append(count).append('\n');
+    boolean replacesMost = random.happens(REPLACEMENT_FRACTION);
+    text.append("change = ").append(startedCount).append('\n');
     for (int line = 0; text.length() < documentBytes; line++) {
-      long value = whole ? chance.bits() : line * 0x9E3779B97F4A7C15L;
+      long value = replacesMost ? random.bits() : line * 0x9E3779B97F4A7C15L;
       text.append("route-").append(line).append(" = \"").append(Long.toHexString(value)).append("\"\n");
     }
     return text.toString().getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Asks whoever leads, from the latest version on, again and again until it is told what came of it. */
-  private void ask(long orderedAt, String id, byte[] document) {
-    boolean[] ended = new boolean[1];
-    Runnable again = () -> {
-      if (!ended[0]) {
-        ended[0] = true;
-        time.after(AGAIN, () -> ask(orderedAt, id, document));
+  /** Sends a change based on the latest version to the leader, and retries until it is accepted. */
+  private void sendChange(long requestedAt, String id, byte[] document) {
+    boolean[] attemptEnded = new boolean[1];
+    Runnable retry = () -> {
+      if (!attemptEnded[0]) {
+        attemptEnded[0] = true;
+        time.after(RETRY_DELAY_MICROS, () -> sendChange(requestedAt, id, document));
       }
     };
     ControllerMachine leader = controllers.stream().filter(ControllerMachine::leads).findFirst().orElse(null);
     if (leader == null || leader.member().rollout().pending()) {
-      again.run();
+      retry.run();
       return;
     }
     long base = leader.member().rollout().latest();
-    // An id for each base: a change that lost against another is ordered anew, from the version after.
+    // The id contains the base: a change that lost against another is requested again on the newer version.
     Change change = new Change(id + "@" + base, base, new String(document, StandardCharsets.UTF_8));
-    checker.ordered(change.id(), orderedAt);
-    begins.run();
+    checker.ordered(change.id(), requestedAt);
+    onChangeSent.run();
     leader.execute(() -> leader.member().change(change).whenComplete((answer, fault) -> {
-      if (fault != null || ended[0]) {
-        again.run();
+      if (fault != null || attemptEnded[0]) {
+        retry.run();
         return;
       }
-      ended[0] = true;
+      attemptEnded[0] = true;
       if (answer.getResult().taken()) {
         taken++;
         long version = answer.getResult().version();
-        time.at(orderedAt + ScaleChecker.inForceWithin(), () -> checker.due(version, proxies));
-        busy = false;
-        next();
+        time.at(requestedAt + ScaleChecker.inForceWithin(), () -> checker.due(version, proxies));
+        changeInProgress = false;
+        startNext();
       } else {
-        time.after(AGAIN, () -> ask(orderedAt, id, document));
+        time.after(RETRY_DELAY_MICROS, () -> sendChange(requestedAt, id, document));
       }
     }));
-    time.after(GIVE_UP, again);
+    time.after(ATTEMPT_TIMEOUT_MICROS, retry);
   }
 
-  /** Changes ordered. */
+  /** Number of changes requested. */
   int ordered() {
-    return count + ordered.size();
+    return startedCount + queuedAt.size();
   }
 
-  /** Of them, those that took hold in the sequence; some may have been withdrawn after that. */
+  /** Number of changes that became a version; some of them may have been withdrawn later. */
   int taken() {
     return taken;
   }
--- a/lab/src/main/java/amberhoist/lab/scale/ScaleChecker.java
+++ b/lab/src/main/java/amberhoist/lab/scale/ScaleChecker.java
@@ -9,179 +9,179 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** Judges what proxies decide by, and measures how long a change takes; it knows nothing of how they came to it. */
+/** Checks the versions that proxies decide by against the rules, and measures how long changes take. */
 final class ScaleChecker {
-  /** The rules. */
+  /** The rules that a run must not violate. */
   enum Rule {
-    /** No two proxies decide by two versions at one moment, nor one by an older version than another did before. */
+    /** No two proxies decide by different versions at once, and none by an older version than another did before. */
     ONE_VERSION,
-    /** A proxy's version never goes back within its life. */
+    /** A proxy's version never decreases while its process lives. */
     NO_RETURN,
-    /** A proxy decides by the document that was ordered under its version. */
+    /** A proxy decides by the document that was requested for its version. */
     RIGHT_DOCUMENT,
-    /** No distributor admits more in a second than it is set to. */
+    /** No distributor admits more subscribers in a second than its limit allows. */
     ADMISSION,
-    /** Each change ends, and in the end all proxies decide by the latest version in force. */
+    /** Every change ends, and at the end of a run all proxies decide by the latest version in force. */
     ENDED
   }
 
-  private static final long IN_FORCE_WITHIN = 10_000_000; // micros, as the operators ask
+  private static final long MAX_ACTIVATION_MICROS = 10_000_000; // required by the operators
   private static final long SECOND = 1_000_000;
-  private static final long LONGEST_WAIT = 3_600 * SECOND;
+  private static final long MAX_RECORDED_MICROS = 3_600 * SECOND;
 
-  private record Order(long at, byte[] document) {}
+  private record RequestedChange(long requestedAt, byte[] document) {}
 
-  private record Held(int life, long version) {}
+  private record HeldVersion(int incarnation, long version) {}
 
-  private final long start;
+  private final long startMicros;
   private final int admissionsPerSecond;
   private final List<String> violations = new ArrayList<>();
-  private final Map<String, Long> orderedAt = new HashMap<>(); // by the change's id
-  private final Map<Long, Order> orders = new HashMap<>(); // by version, of those that took hold
-  private final Map<HollowProxy, Long> decidedBy = new HashMap<>();
-  private final Map<HollowProxy, Held> heldBy = new HashMap<>();
-  private final Map<String, TreeMap<Long, Integer>> admitted = new HashMap<>(); // by distributor, then second
-  private final Map<Long, Integer> late = new LinkedHashMap<>(); // by version: proxies that missed its time
-  private final Histogram waits = new Histogram(LONGEST_WAIT, 3);
-  private final Histogram changeWaits = new Histogram(LONGEST_WAIT, 3);
-  private final Map<Long, Long> lastWait = new HashMap<>(); // by version
-  private long highest = -1;
-  private long inForce;
-
-  ScaleChecker(long start, int admissionsPerSecond) {
-    this.start = start;
+  private final Map<String, Long> requestedAtByChange = new HashMap<>();
+  private final Map<Long, RequestedChange> changeByVersion = new HashMap<>();
+  private final Map<HollowProxy, Long> versionInUse = new HashMap<>();
+  private final Map<HollowProxy, HeldVersion> versionHeld = new HashMap<>();
+  private final Map<String, TreeMap<Long, Integer>> admissions = new HashMap<>(); // by distributor, then by second
+  private final Map<Long, Integer> lateCountByVersion = new LinkedHashMap<>(); // number of late proxies
+  private final Histogram proxyDelays = new Histogram(MAX_RECORDED_MICROS, 3);
+  private final Histogram changeDelays = new Histogram(MAX_RECORDED_MICROS, 3);
+  private final Map<Long, Long> longestDelayByVersion = new HashMap<>();
+  private long highestVersion = -1;
+  private long versionInForce;
+
+  ScaleChecker(long startMicros, int admissionsPerSecond) {
+    this.startMicros = startMicros;
     this.admissionsPerSecond = admissionsPerSecond;
   }
 
-  private void broken(Rule rule, long at, String what) {
-    violations.add(rule + " at " + (at - start) / 1000 + " ms: " + what);
+  private void report(Rule rule, long atMicros, String description) {
+    violations.add(rule + " at " + (atMicros - startMicros) / 1000 + " ms: " + description);
   }
 
-  /** An operator ordered the change of this id then. */
-  void ordered(String id, long at) {
-    orderedAt.putIfAbsent(id, at);
+  /** An operator requested a change at this time; later requests of the same change are ignored. */
+  void ordered(String id, long atMicros) {
+    requestedAtByChange.putIfAbsent(id, atMicros);
   }
 
-  /** The change of this id took hold as this version, with this document. */
+  /** A change became this version, with this document. */
   void began(long version, String id, byte[] document) {
-    orders.putIfAbsent(version, new Order(orderedAt.get(id), document));
+    changeByVersion.putIfAbsent(version, new RequestedChange(requestedAtByChange.get(id), document));
   }
 
-  /** A version came in force. */
+  /** A version came into force. */
   void inForce(long version) {
-    inForce = Math.max(inForce, version);
+    versionInForce = Math.max(versionInForce, version);
   }
 
-  /** The proxy may decide by another version than before; {@code all} are looked at when the version is a new one. */
-  void observe(long now, HollowProxy proxy, List<HollowProxy> all) {
-    held(now, proxy);
+  /** Checks a proxy whose version may have changed, and all proxies if it is the first to use a version. */
+  void observe(long now, HollowProxy proxy, List<HollowProxy> allProxies) {
+    checkHeldVersion(now, proxy);
     long version = proxy.decides();
     if (version < 0) {
       return;
     }
-    if (version > highest) {
-      highest = version;
-      all.forEach(each -> compare(now, each));
+    if (version > highestVersion) {
+      highestVersion = version;
+      allProxies.forEach(each -> checkAgainstHighest(now, each));
     } else {
-      compare(now, proxy);
+      checkAgainstHighest(now, proxy);
     }
-    Long before = decidedBy.get(proxy);
-    if (before == null || before != version) {
-      decidedBy.put(proxy, version);
-      took(now, proxy, version);
+    Long previous = versionInUse.get(proxy);
+    if (previous == null || previous != version) {
+      versionInUse.put(proxy, version);
+      onVersionUsed(now, proxy, version);
     }
   }
 
-  private void held(long now, HollowProxy proxy) {
-    Held next = new Held(proxy.life(), proxy.holds());
-    Held before = heldBy.put(proxy, next);
-    if (before != null && before.life() == next.life() && next.version() < before.version()) {
-      broken(Rule.NO_RETURN, now, proxy.name() + " went back from version " + before.version() + " to "
+  private void checkHeldVersion(long now, HollowProxy proxy) {
+    HeldVersion next = new HeldVersion(proxy.life(), proxy.holds());
+    HeldVersion previous = versionHeld.put(proxy, next);
+    if (previous != null && previous.incarnation() == next.incarnation() && next.version() < previous.version()) {
+      report(Rule.NO_RETURN, now, proxy.name() + " went back from version " + previous.version() + " to "
           + next.version());
     }
   }
 
-  private void compare(long now, HollowProxy proxy) {
+  private void checkAgainstHighest(long now, HollowProxy proxy) {
     long version = proxy.decides();
-    if (version >= 0 && version < highest) {
-      broken(Rule.ONE_VERSION, now, proxy.name() + " decides by version " + version + ", another by " + highest);
+    if (version >= 0 && version < highestVersion) {
+      report(Rule.ONE_VERSION, now, proxy.name() + " decides by version " + version + ", another by " + highestVersion);
     }
   }
 
-  private void took(long now, HollowProxy proxy, long version) {
-    Order order = orders.get(version);
-    if (order == null) {
+  private void onVersionUsed(long now, HollowProxy proxy, long version) {
+    RequestedChange change = changeByVersion.get(version);
+    if (change == null) {
       return;
     }
-    if (!Arrays.equals(order.document(), proxy.document())) {
-      broken(Rule.RIGHT_DOCUMENT, now, proxy.name() + " decides by another document than version " + version);
+    if (!Arrays.equals(change.document(), proxy.document())) {
+      report(Rule.RIGHT_DOCUMENT, now, proxy.name() + " decides by another document than version " + version);
     }
-    if (proxy.undisturbedSince() <= order.at()) {
-      waits.recordValue(now - order.at());
-      lastWait.merge(version, now - order.at(), Math::max);
+    if (proxy.undisturbedSince() <= change.requestedAt()) {
+      proxyDelays.recordValue(now - change.requestedAt());
+      longestDelayByVersion.merge(version, now - change.requestedAt(), Math::max);
     }
   }
 
-  /** The time is over in which this version had to take hold at all that could be reached. */
-  void due(long version, List<HollowProxy> all) {
-    Order order = orders.get(version);
-    if (version > inForce) {
-      return; // withdrawn, or still pending: told apart at the end
+  /** Counts the reachable proxies that do not use a version though the time limit for it has expired. */
+  void due(long version, List<HollowProxy> allProxies) {
+    RequestedChange change = changeByVersion.get(version);
+    if (version > versionInForce) {
+      return; // withdrawn or still pending; a pending one is reported at the end
     }
     int missing = 0;
-    for (HollowProxy proxy : all) {
-      boolean reached = proxy.undisturbedSince() <= order.at();
-      missing += reached && decidedBy.getOrDefault(proxy, -1L) < version ? 1 : 0;
+    for (HollowProxy proxy : allProxies) {
+      boolean reachable = proxy.undisturbedSince() <= change.requestedAt();
+      missing += reachable && versionInUse.getOrDefault(proxy, -1L) < version ? 1 : 0;
     }
     if (missing > 0) {
-      late.put(version, missing);
+      lateCountByVersion.put(version, missing);
     }
   }
 
-  /** A distributor admitted one more. */
-  void admitted(long now, String distributor, int more) {
-    admitted.computeIfAbsent(distributor, name -> new TreeMap<>()).merge(now / SECOND, more, Integer::sum);
+  /** A distributor has admitted {@code count} subscribers since the last call. */
+  void admitted(long now, String distributor, int count) {
+    admissions.computeIfAbsent(distributor, name -> new TreeMap<>()).merge(now / SECOND, count, Integer::sum);
   }
 
-  /** All has been whole for long. */
-  void ends(long now, List<HollowProxy> all, boolean pending) {
+  /** Checks the end of a run, after a long time without faults. */
+  void ends(long now, List<HollowProxy> allProxies, boolean pending) {
     if (pending) {
-      broken(Rule.ENDED, now, "a change is still pending");
+      report(Rule.ENDED, now, "a change is still pending");
     }
-    for (HollowProxy proxy : all) {
-      if (proxy.decides() != inForce) {
-        broken(Rule.ENDED, now, proxy.name() + " decides by " + proxy.decides() + ", version " + inForce
+    for (HollowProxy proxy : allProxies) {
+      if (proxy.decides() != versionInForce) {
+        report(Rule.ENDED, now, proxy.name() + " decides by " + proxy.decides() + ", version " + versionInForce
             + " is in force");
       }
     }
-    admitted.forEach((distributor, seconds) -> seconds.forEach((second, count) -> {
-      if (count > 2 * admissionsPerSecond) { // a second that starts with a full burst
-        broken(Rule.ADMISSION, second * SECOND, distributor + " admitted " + count + " in a second");
+    admissions.forEach((distributor, seconds) -> seconds.forEach((second, count) -> {
+      if (count > 2 * admissionsPerSecond) { // a full burst and a second's admissions
+        report(Rule.ADMISSION, second * SECOND, distributor + " admitted " + count + " in a second");
       }
     }));
-    lastWait.values().forEach(changeWaits::recordValue);
+    longestDelayByVersion.values().forEach(changeDelays::recordValue);
   }
 
   List<String> violations() {
     return violations;
   }
 
-  /** Proxies that could be reached and did not decide by a change in time, over all changes. */
+  /** Number of reachable proxies that did not use a change in time, summed over all changes. */
   int notInForce() {
-    return late.values().stream().mapToInt(Integer::intValue).sum();
+    return lateCountByVersion.values().stream().mapToInt(Integer::intValue).sum();
   }
 
-  /** Micros from the order until a proxy decides by it, over all changes and proxies that could be reached. */
+  /** Microseconds from the request of a change until a reachable proxy decides by it, over all changes and proxies. */
   Histogram waits() {
-    return waits;
+    return proxyDelays;
   }
 
-  /** The same until the last of them does, over all changes. */
+  /** Microseconds from the request of a change until the last reachable proxy decides by it, over all changes. */
   Histogram changeWaits() {
-    return changeWaits;
+    return changeDelays;
   }
 
   static long inForceWithin() {
-    return IN_FORCE_WITHIN;
+    return MAX_ACTIVATION_MICROS;
   }
 }
--- a/lab/src/main/java/amberhoist/lab/scale/ScaleDefects.java
+++ b/lab/src/main/java/amberhoist/lab/scale/ScaleDefects.java
@@ -12,7 +12,7 @@
 import java.util.function.BiConsumer;
 import java.util.random.RandomGenerator;
 
-/** Distributors and subscribers with the defects of {@link ScaleMutant}. */
+/** Creates distributors and subscribers, with the defects of {@link ScaleMutant} built in. */
 final class ScaleDefects {
   private ScaleDefects() {}
 
@@ -53,15 +53,16 @@
 
       @Override
       protected Transfer transfer(Document target, long held) {
-        Transfer right = super.transfer(target, held);
-        if (mutant != ScaleMutant.WRONG_BASE || right.base() == 0) {
-          return right;
+        Transfer correct = super.transfer(target, held);
+        if (mutant != ScaleMutant.WRONG_BASE || correct.base() == 0) {
+          return correct;
         }
-        return new Transfer(right.version(), right.base(), right.from() / 2, right.removed(), 0, right.body());
+        return new Transfer(correct.version(), correct.base(), correct.from() / 2, correct.removed(), 0,
+            correct.body());
       }
     };
     if (mutant == ScaleMutant.FORGETS_EARLIER_LIFE) {
-      distributor.lease(Long.MIN_VALUE); // as if it had had one before
+      distributor.lease(Long.MIN_VALUE); // as if it had held a lease before
     }
     return distributor;
   }
@@ -69,21 +70,21 @@
   static Subscriber subscriber(ScaleMutant mutant, DistributionSettings settings, String name, long incarnation,
       List<String> distributors, RandomGenerator random, long now, BiConsumer<String, Request> link) {
     return new Subscriber(settings, name, incarnation, distributors, random, now, link) {
-      private long grantedUntil = Long.MIN_VALUE;
+      private long leaseUntil = Long.MIN_VALUE;
 
       @Override
       public long decides(long at) {
         if (mutant == ScaleMutant.DECIDES_WHILE_PREPARED) {
-          return at < grantedUntil ? held().version() : -1;
+          return at < leaseUntil ? held().version() : -1;
         }
-        return mutant == ScaleMutant.COUNTS_FROM_GRANT && at < grantedUntil ? held().version() : super.decides(at);
+        return mutant == ScaleMutant.COUNTS_FROM_GRANT && at < leaseUntil ? held().version() : super.decides(at);
       }
 
       @Override
       public void receive(long at, String distributor, Reply reply, int bytes) {
         super.receive(at, distributor, reply, bytes);
         if (super.decides(at) >= 0) {
-          grantedUntil = at + 2 * settings.lease();
+          leaseUntil = at + 2 * settings.lease();
         }
       }
 
--- a/lab/src/main/java/amberhoist/lab/scale/ScaleFaults.java
+++ b/lab/src/main/java/amberhoist/lab/scale/ScaleFaults.java
@@ -1,11 +1,11 @@
 package amberhoist.lab.scale;
 
-/** How much goes wrong in a scale test. */
+/** The faults that are injected in a scale test. */
 public enum ScaleFaults {
-  /** Nothing. */
+  /** No faults. */
   NONE,
-  /** The ordinary day's failures at a hundred times their rate: machines, restarts, racks, zones, regions cut off. */
+  /** The faults of an ordinary day at 100 times their rate: machines, restarts, racks, zones, isolated regions. */
   ORDINARY,
-  /** The ordinary ones, and each few seconds a controller, region or zone that is lost, stopped or cut off. */
+  /** Ordinary faults, and every few seconds a controller, region or zone that fails, is suspended or is cut off. */
   HARSH
 }
--- a/lab/src/main/java/amberhoist/lab/scale/ScaleSettings.java
+++ b/lab/src/main/java/amberhoist/lab/scale/ScaleSettings.java
@@ -1,43 +1,48 @@
 package amberhoist.lab.scale;
 
 /**
- * What a scale test plays.
+ * The settings of a scale test.
  *
- * @param proxies number of hollow proxies
+ * @param proxies number of control-plane-only proxies
  * @param controllers number of controllers
- * @param voters how many of them vote
- * @param regions number of regions; controllers and zones are dealt out among them
+ * @param voters number of controllers that vote
+ * @param regions number of regions, among which zones and controllers are distributed evenly
  * @param zones number of zones
  * @param changesPerDay rate of changes
- * @param burst changes ordered within one minute, from the middle of the run on
- * @param seconds length of the run in virtual time; half a minute follows in which all is whole
+ * @param burst number of further changes, requested within one minute from the middle of the run
+ * @param seconds duration of changes and faults in virtual time; 30 s without faults follow
  * @param documentBytes size of the policy document
- * @param seed of all that is drawn
+ * @param seed seed of all random numbers
+ * @param faults the faults to inject
+ * @param mutant the defect to build in
  */
 public record ScaleSettings(int proxies, int controllers, int voters, int regions, int zones, int changesPerDay,
     int burst, int seconds, int documentBytes, long seed, ScaleFaults faults, ScaleMutant mutant) {
-  private static final int MOST_PROXIES = 20_000;
-  private static final double ADMISSIONS = 0.4; // of a distributor's due part of the proxies, in a second
-  private static final int LEAST_ADMISSIONS = 4;
+  private static final int MAX_PROXIES = 20_000;
+  private static final double ADMITTED_FRACTION_PER_SECOND = 0.4; // of a distributor's fair share of the proxies
+  private static final int MIN_ADMISSIONS_PER_SECOND = 4;
 
-  /** Refuses what cannot be played. */
+  /** Throws {@link IllegalArgumentException} if a setting is out of range. */
   public ScaleSettings {
-    if (proxies < 1 || proxies > MOST_PROXIES) {
-      throw new IllegalArgumentException("--proxies: expected 1 to " + MOST_PROXIES + ", not " + proxies);
+    if (proxies < 1 || proxies > MAX_PROXIES) {
+      throw new IllegalArgumentException("--proxies: must be between 1 and " + MAX_PROXIES + ", but is " + proxies);
     }
     if (controllers < 1 || voters < 1 || voters > controllers) {
-      throw new IllegalArgumentException("--voters: expected 1 to the number of controllers, not " + voters);
+      throw new IllegalArgumentException("--voters: must be between 1 and the number of controllers, but is " + voters);
     }
     if (regions < 1 || zones < regions) {
-      throw new IllegalArgumentException("--zones: expected one for each region at least, not " + zones);
+      throw new IllegalArgumentException("--zones: must be at least the number of regions, but is " + zones);
     }
     if (seconds < 1 || changesPerDay < 0 || burst < 0 || documentBytes < 0) {
-      throw new IllegalArgumentException("--seconds must be 1 or more, and no other figure negative");
+      throw new IllegalArgumentException("--seconds must be at least 1, and other values must not be negative");
     }
   }
 
-  /** Subscribers that a distributor admits in a second: a lost one's are taken on within some seconds. */
+  /**
+   * Number of subscribers that a distributor admits per second. It lets the subscribers of a failed distributor find a
+   * place at others within a few seconds.
+   */
   int admissionsPerSecond() {
-    return Math.max(LEAST_ADMISSIONS, (int) (ADMISSIONS * proxies / controllers));
+    return Math.max(MIN_ADMISSIONS_PER_SECOND, (int) (ADMITTED_FRACTION_PER_SECOND * proxies / controllers));
   }
 }
--- a/lab/src/main/java/amberhoist/lab/scale/ScaleWorld.java
+++ b/lab/src/main/java/amberhoist/lab/scale/ScaleWorld.java
@@ -16,68 +16,69 @@
 import java.util.List;
 import java.util.Map;
 
-/** One run of the control plane in virtual time. */
+/** Simulates the control plane in virtual time, under faults drawn from a seed. */
 public final class ScaleWorld {
-  private static final long START = 1_000_000_000_000L; // micros
-  private static final long SECOND = 1_000_000;
-  private static final long DAY = 86_400 * SECOND;
-  private static final long SETTLE = 10 * SECOND; // before the first change and fault
-  private static final long QUIET = 30 * SECOND; // at the end, with all whole
-  private static final long WINDOW = 10 * SECOND; // over which a proxy's bytes are counted
-  private static final long LOOK = SECOND; // at what distributors have admitted
+  private static final long START_MICROS = 1_000_000_000_000L;
+  private static final long SECOND = 1_000_000; // in microseconds, as all times here
+  private static final long DAY_MICROS = 86_400 * SECOND;
+  private static final long SETTLE_MICROS = 10 * SECOND; // before the first change and fault
+  private static final long RECOVERY_MICROS = 30 * SECOND; // fault-free time at the end of a run
+  private static final long BYTE_WINDOW_MICROS = 10 * SECOND;
+  private static final long ADMISSION_CHECK_MICROS = SECOND;
 
   private final ScaleSettings settings;
   private final DistributionSettings distribution;
-  private final VirtualTime time = new VirtualTime(START);
+  private final VirtualTime time = new VirtualTime(START_MICROS);
   private final Network network;
   private final ScaleChecker checker;
   private final MessageCodec codec = new MessageCodec();
   private final List<ControllerMachine> controllers = new ArrayList<>();
-  private final Map<String, ControllerMachine> byName = new HashMap<>();
+  private final Map<String, ControllerMachine> controllersByName = new HashMap<>();
   private final List<Member> members = new ArrayList<>();
   private final List<HollowProxy> proxies = new ArrayList<>();
   private final Map<String, HollowProxy> proxiesByName = new HashMap<>();
   private final Map<String, Long> admittedBefore = new HashMap<>();
   private final Operators operators;
-  private final Disturbance disturbance;
-  private final Chance chance;
-  private int withdrawn;
-  private long concludedUpTo;
+  private final Disturbance faultInjector;
+  private final Chance random;
+  private int withdrawnChanges;
+  private long lastConcludedVersion;
 
-  /** A run by these settings. */
+  /** Creates a simulation with these settings. */
   public ScaleWorld(ScaleSettings settings) {
     this.settings = settings;
     distribution = DistributionSettings.of("lab").withAdmissions(settings.admissionsPerSecond());
-    chance = new Chance(settings.seed(), 1);
+    random = new Chance(settings.seed(), 1);
     Topology topology = new Topology(settings);
     network = new Network(time, topology, settings.regions(), new Chance(settings.seed(), 2));
-    checker = new ScaleChecker(START, distribution.admissionsPerSecond());
+    checker = new ScaleChecker(START_MICROS, distribution.admissionsPerSecond());
     for (int i = 0; i < settings.controllers(); i++) {
       members.add(new Member(Topology.controllerName(i)));
     }
     for (int i = 0; i < settings.controllers(); i++) {
-      ControllerMachine machine = new ControllerMachine(time, network, new ControllerSide(), distribution,
-          settings.mutant(), members.get(i), topology.zoneOfController(i), chance);
+      ControllerMachine machine = new ControllerMachine(time, network, new ControllerEnvironment(), distribution,
+          settings.mutant(), members.get(i), topology.zoneOfController(i), random);
       controllers.add(machine);
-      byName.put(machine.name(), machine);
+      controllersByName.put(machine.name(), machine);
     }
     for (int i = 0; i < settings.proxies(); i++) {
-      HollowProxy proxy = new HollowProxy(time, i, topology, distribution, chance, settings.mutant(), new ProxySide());
+      HollowProxy proxy = new HollowProxy(time, i, topology, distribution, random, settings.mutant(),
+          new ProxyEnvironment());
       proxies.add(proxy);
       proxiesByName.put(proxy.name(), proxy);
     }
-    disturbance = new Disturbance(settings, time, new Chance(settings.seed(), 5), topology, network, controllers,
+    faultInjector = new Disturbance(settings, time, new Chance(settings.seed(), 5), topology, network, controllers,
         proxies);
     operators = new Operators(time, new Chance(settings.seed(), 4), controllers, checker, proxies,
-        settings.documentBytes(), disturbance::changeBegins);
+        settings.documentBytes(), faultInjector::changeBegins);
   }
 
-  /** Has this done so many micros after all has settled. */
-  void at(long after, Runnable task) {
-    time.at(START + SETTLE + after, task);
+  /** Schedules a task {@code delayMicros} after the end of the start-up phase. */
+  void at(long delayMicros, Runnable task) {
+    time.at(START_MICROS + SETTLE_MICROS + delayMicros, task);
   }
 
-  /** Has an operator order a change now. */
+  /** Makes an operator request a change now. */
   void order() {
     operators.order();
   }
@@ -94,62 +95,62 @@
     return proxies;
   }
 
-  /** Runs it to its end. */
+  /** Runs the simulation to its end. */
   public ScaleOutcome run() {
     controllers.forEach(ControllerMachine::start);
-    proxies.forEach(proxy -> time.after(chance.between(0, SETTLE / 2), proxy::start));
-    long end = START + SETTLE + settings.seconds() * SECOND;
-    time.after(SETTLE, () -> {
-      nextChange(end);
-      disturbance.begin(end);
+    proxies.forEach(proxy -> time.after(random.between(0, SETTLE_MICROS / 2), proxy::start));
+    long end = START_MICROS + SETTLE_MICROS + settings.seconds() * SECOND;
+    time.after(SETTLE_MICROS, () -> {
+      scheduleChange(end);
+      faultInjector.begin(end);
     });
-    time.after(SETTLE + settings.seconds() * SECOND / 2, () -> burst(settings.burst()));
-    look();
-    window();
-    time.at(end, disturbance::heal);
-    time.runUntil(end + QUIET);
+    time.after(SETTLE_MICROS + settings.seconds() * SECOND / 2, () -> scheduleBurst(settings.burst()));
+    checkAdmissions();
+    endByteWindow();
+    time.at(end, faultInjector::heal);
+    time.runUntil(end + RECOVERY_MICROS);
     checker.ends(time.now(), proxies, controllers.get(0).member().rollout().pending());
-    return ScaleOutcome.of(settings, checker, operators, withdrawn, disturbance, proxies, controllers,
-        (time.now() - START) / (double) SECOND, time.handled());
+    return ScaleOutcome.of(settings, checker, operators, withdrawnChanges, faultInjector, proxies, controllers,
+        (time.now() - START_MICROS) / (double) SECOND, time.handled());
   }
 
-  private void nextChange(long end) {
+  private void scheduleChange(long end) {
     if (settings.changesPerDay() > 0) {
-      time.after((long) chance.exponential((double) DAY / settings.changesPerDay()), () -> {
+      time.after((long) random.exponential((double) DAY_MICROS / settings.changesPerDay()), () -> {
         if (time.now() < end) {
           operators.order();
-          nextChange(end);
+          scheduleChange(end);
         }
       });
     }
   }
 
-  private void burst(int left) {
-    if (left > 0) {
+  private void scheduleBurst(int remaining) {
+    if (remaining > 0) {
       operators.order();
-      time.after(60 * SECOND / settings.burst(), () -> burst(left - 1));
+      time.after(60 * SECOND / settings.burst(), () -> scheduleBurst(remaining - 1));
     }
   }
 
-  private void look() {
+  private void checkAdmissions() {
     for (ControllerMachine machine : controllers) {
       long admitted = machine.distributor() == null ? 0 : machine.distributor().counters().admitted();
       long before = admittedBefore.getOrDefault(machine.name(), 0L);
       checker.admitted(time.now(), machine.name(), (int) (admitted - (admitted < before ? 0 : before)));
       admittedBefore.put(machine.name(), admitted);
     }
-    time.after(LOOK, this::look);
+    time.after(ADMISSION_CHECK_MICROS, this::checkAdmissions);
   }
 
-  private void window() {
+  private void endByteWindow() {
     proxies.forEach(HollowProxy::endWindow);
-    time.after(WINDOW, this::window);
+    time.after(BYTE_WINDOW_MICROS, this::endByteWindow);
   }
 
-  private final class ControllerSide implements ControllerMachine.Surroundings {
+  private final class ControllerEnvironment implements ControllerMachine.Surroundings {
     @Override
     public ControllerMachine controller(String name) {
-      return byName.get(name);
+      return controllersByName.get(name);
     }
 
     @Override
@@ -166,13 +167,13 @@
     public void reply(ControllerMachine from, String name, Message.Reply reply) {
       byte[] bytes = codec.encode(reply);
       HollowProxy to = proxiesByName.get(name);
-      int life = to.life();
+      int receiverLife = to.life();
       from.counted(bytes.length);
       network.carry(from, to, () -> {
-        long before = System.nanoTime();
+        long startNanos = System.nanoTime();
         Message decoded = decode(bytes);
-        to.worked(System.nanoTime() - before);
-        to.receive(life, from.name(), (Message.Reply) decoded, bytes.length);
+        to.worked(System.nanoTime() - startNanos);
+        to.receive(receiverLife, from.name(), (Message.Reply) decoded, bytes.length);
       });
     }
 
@@ -183,12 +184,12 @@
         checker.began(verdict.version(), change.id(), change.document().getBytes(StandardCharsets.UTF_8));
       }
       Rollout rollout = at.member().rollout();
-      if (!rollout.pending() && rollout.latest() > concludedUpTo) {
-        concludedUpTo = rollout.latest();
+      if (!rollout.pending() && rollout.latest() > lastConcludedVersion) {
+        lastConcludedVersion = rollout.latest();
         if (rollout.inForce() == rollout.latest()) {
           checker.inForce(rollout.inForce());
         } else {
-          withdrawn++;
+          withdrawnChanges++;
         }
       }
     }
@@ -202,11 +203,11 @@
     }
   }
 
-  private final class ProxySide implements HollowProxy.Surroundings {
+  private final class ProxyEnvironment implements HollowProxy.Surroundings {
     @Override
     public void request(HollowProxy from, int life, String distributor, Message.Request request) {
       byte[] bytes = codec.encode(request);
-      ControllerMachine to = byName.get(distributor);
+      ControllerMachine to = controllersByName.get(distributor);
       from.counted(bytes.length);
       network.carry(from, to, () -> {
         to.counted(bytes.length);
--- a/lab/src/main/java/amberhoist/lab/scale/Topology.java
+++ b/lab/src/main/java/amberhoist/lab/scale/Topology.java
@@ -5,11 +5,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Regions on a ring with zones in them, and which machine is where. */
+/** Places zones in regions, which form a ring, and machines in zones. */
 final class Topology {
-  private static final long SAME_ZONE = 250; // micros one way
-  private static final long SAME_REGION = 800;
-  private static final long REGION_STEP = 18_000; // micros one way to a region next on the ring, for each step
+  private static final long SAME_ZONE_MICROS = 250; // one-way, as all delays here
+  private static final long SAME_REGION_MICROS = 800;
+  private static final long REGION_STEP_MICROS = 18_000; // for each step on the ring
 
   private final ScaleSettings settings;
 
@@ -17,30 +17,30 @@
     this.settings = settings;
   }
 
-  /** The zone of the n-th proxy: every zone has the same share. */
+  /** The zone of a proxy, by number; proxies are distributed evenly. */
   int zoneOfProxy(int proxy) {
     return proxy % settings.zones();
   }
 
-  /** The zone of the n-th controller: the voters come first, each in another region as far as there are enough. */
+  /** The zone of a controller, by number; voters have the lowest numbers, so each gets its own region if possible. */
   int zoneOfController(int controller) {
     return controller % settings.zones();
   }
 
-  /** The region of a zone: neighbouring numbers lie in different regions. */
+  /** The region of a zone; zones with adjacent numbers are in different regions. */
   int regionOfZone(int zone) {
     return zone % settings.regions();
   }
 
-  /** Micros that a message takes from one zone to another, without jitter. */
+  /** One-way delay in microseconds from one zone to another, without jitter. */
   long delay(int fromZone, int toZone) {
     int from = regionOfZone(fromZone);
     int to = regionOfZone(toZone);
     if (from == to) {
-      return fromZone == toZone ? SAME_ZONE : SAME_REGION;
+      return fromZone == toZone ? SAME_ZONE_MICROS : SAME_REGION_MICROS;
     }
     int steps = Math.abs(from - to);
-    return SAME_REGION + REGION_STEP * Math.min(steps, settings.regions() - steps);
+    return SAME_REGION_MICROS + REGION_STEP_MICROS * Math.min(steps, settings.regions() - steps);
   }
 
   static String controllerName(int controller) {
@@ -51,27 +51,27 @@
     return "p" + proxy;
   }
 
-  /** The controllers in the order in which this proxy asks them. */
+  /** The names of the controllers in the order in which a proxy tries them. */
   List<String> distributorsOf(int proxy) {
     List<Location> locations = new ArrayList<>();
     for (int controller = 0; controller < settings.controllers(); controller++) {
-      locations.add(new Location(controllerName(controller), region(regionOfZone(zoneOfController(controller)))));
+      locations.add(new Location(controllerName(controller), regionName(regionOfZone(zoneOfController(controller)))));
     }
-    return DistributorOrder.of(proxyName(proxy), regionsFrom(regionOfZone(zoneOfProxy(proxy))), locations);
+    return DistributorOrder.of(proxyName(proxy), regionsByDistance(regionOfZone(zoneOfProxy(proxy))), locations);
   }
 
-  /** All regions, this one first and the nearest next. */
-  private List<String> regionsFrom(int region) {
+  /** All regions by distance, this one first. */
+  private List<String> regionsByDistance(int region) {
     List<String> order = new ArrayList<>();
-    order.add(region(region));
+    order.add(regionName(region));
     for (int step = 1; step <= settings.regions() / 2; step++) {
-      order.add(region((region + step) % settings.regions()));
-      order.add(region(Math.floorMod(region - step, settings.regions())));
+      order.add(regionName((region + step) % settings.regions()));
+      order.add(regionName(Math.floorMod(region - step, settings.regions())));
     }
     return order;
   }
 
-  private static String region(int region) {
+  private static String regionName(int region) {
     return "r" + region;
   }
 }
--- a/lab/src/main/java/amberhoist/lab/scale/package-info.java
+++ b/lab/src/main/java/amberhoist/lab/scale/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Scale tests of the control plane: the real controllers, distributors and subscribers with hollow proxies, which relay
- * nothing, in virtual time, under faults, with a checker and known defects that prove it.
+ * Scale tests of the control plane in virtual time: real controllers, distributors and subscribers under faults, with
+ * control-plane-only proxies, which relay no traffic. A checker verifies the rules, and mutants test the checker.
  */
 package amberhoist.lab.scale;
