--- a/lab/src/test/java/amberhoist/lab/SearchTest.java
+++ b/lab/src/test/java/amberhoist/lab/SearchTest.java
@@ -14,62 +14,65 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import picocli.CommandLine;
 
-/** The laboratory's commands that search and judge, as they are typed. */
+/** Runs the {@code lab} commands that search for faults and evaluate claims, as on the command line. */
 class SearchTest {
-  private static final String FILE = "experiments/smoke-faults.toml";
+  private static final String EXPERIMENT_FILE = "experiments/smoke-faults.toml";
 
   @TempDir
   private Path folder;
 
-  private int status;
+  private int exitStatus;
 
-  private String lab(String... args) {
-    PrintStream before = System.out;
-    ByteArrayOutputStream told = new ByteArrayOutputStream();
-    System.setOut(new PrintStream(told, true, StandardCharsets.UTF_8));
+  private String runLab(String... args) {
+    PrintStream originalOut = System.out;
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    System.setOut(new PrintStream(output, true, StandardCharsets.UTF_8));
     try {
-      status = new CommandLine(new LabCommand()).execute(args);
+      exitStatus = new CommandLine(new LabCommand()).execute(args);
     } finally {
-      System.setOut(before);
+      System.setOut(originalOut);
     }
-    return told.toString(StandardCharsets.UTF_8);
+    return output.toString(StandardCharsets.UTF_8);
   }
 
   @Test
-  void aDefectIsFoundAndItsTimeLineShrunkToWhatMatters() {
-    String told = lab("fuzz", FILE, "--runs", "5", "--mutant", "MISSES_SILENCE");
-    assertEquals(1, status);
-    assertTrue(told.contains("a silent provider's client not moved"), told);
-    assertEquals(1, told.split("\\[\\[faults]]", -1).length - 1, told);
-    assertTrue(told.contains("kind = \"vanish\"") || told.contains("kind = \"hang\""), told);
-    assertEquals(told, lab("fuzz", FILE, "--runs", "5", "--mutant", "MISSES_SILENCE"), "the seed tells all");
+  void fuzzFindsAMutantAndMinimizesItsFaults() {
+    String output = runLab("fuzz", EXPERIMENT_FILE, "--runs", "5", "--mutant", "MISSES_SILENCE");
+    assertEquals(1, exitStatus);
+    assertTrue(output.contains("a silent provider's client not moved"), output);
+    assertEquals(1, output.split("\\[\\[faults]]", -1).length - 1, output);
+    assertTrue(output.contains("kind = \"vanish\"") || output.contains("kind = \"hang\""), output);
+    assertEquals(output, runLab("fuzz", EXPERIMENT_FILE, "--runs", "5", "--mutant", "MISSES_SILENCE"),
+        "differs on the same seed");
   }
 
-  /** Time lines on which proxies send to a provider that they list as it was before its restart, and on which a
-   * restarted proxy finds a provider back in its first list: no fault of theirs. */
+  /**
+   * Seeds whose faults make proxies send to a provider that their list still shows as it was before its restart, or
+   * make a restarted proxy find a provider back in its first list. Neither is a violation by the proxy.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"4", "10", "28", "52"})
-  void whatAProxyWasNotToldIsNoFaultOfIts(String seed) {
-    String told = lab("fuzz", FILE, "--runs", "1", "--from", seed);
-    assertEquals(0, status, told);
+  void decisionsOnOutdatedListsAreNoViolations(String seed) {
+    String output = runLab("fuzz", EXPERIMENT_FILE, "--runs", "1", "--from", seed);
+    assertEquals(0, exitStatus, output);
   }
 
   @Test
-  void aClaimThatFallsEndsWithOneAndResultsAreKept() throws Exception {
+  void failedClaimExitsWithOneAndResultsAreWritten() throws Exception {
     String text = Files.readString(Path.of("experiments/smoke-calm.toml"));
     Path file = Files.writeString(folder.resolve("high.toml"), text.replace("least = 0.9", "least = 0.999"));
-    String told = lab("run", file.toString(), "--seeds", "2", "--quick", "--out", folder.toString());
-    assertEquals(1, status);
-    assertTrue(told.contains("FALLS today: service"), told);
-    Path kept = folder.resolve("smoke-calm");
-    assertTrue(Files.readString(kept.resolve("report.md")).contains("95 % interval"));
-    assertTrue(Files.readAllLines(kept.resolve("results.csv")).size() > 50);
-    assertTrue(Files.size(kept.resolve("service.png")) > 5000);
-    lab("run", "experiments/smoke-calm.toml", "--seeds", "2", "--quick");
-    assertEquals(0, status);
-    lab("run", folder.resolve("none.toml").toString());
-    assertEquals(1, status);
-    lab("run", file.toString(), "--seeds", "-1");
-    assertEquals(2, status);
+    String output = runLab("run", file.toString(), "--seeds", "2", "--quick", "--out", folder.toString());
+    assertEquals(1, exitStatus);
+    assertTrue(output.contains("FALLS today: service"), output);
+    Path resultFolder = folder.resolve("smoke-calm");
+    assertTrue(Files.readString(resultFolder.resolve("report.md")).contains("95 % interval"));
+    assertTrue(Files.readAllLines(resultFolder.resolve("results.csv")).size() > 50);
+    assertTrue(Files.size(resultFolder.resolve("service.png")) > 5000);
+    runLab("run", "experiments/smoke-calm.toml", "--seeds", "2", "--quick");
+    assertEquals(0, exitStatus);
+    runLab("run", folder.resolve("none.toml").toString());
+    assertEquals(1, exitStatus);
+    runLab("run", file.toString(), "--seeds", "-1");
+    assertEquals(2, exitStatus);
   }
 }
--- a/lab/src/test/java/amberhoist/lab/TryOutTest.java
+++ b/lab/src/test/java/amberhoist/lab/TryOutTest.java
@@ -12,15 +12,15 @@
 
 class TryOutTest {
   @Test
-  void aClientIsServedAndFollowsADrain() throws Exception {
-    ByteArrayOutputStream told = new ByteArrayOutputStream();
-    try (TryOut tryOut = new TryOut(new PrintStream(told, true, StandardCharsets.UTF_8))) {
-      Round round = tryOut.run(5);
-      assertEquals(5, round.returned());
-      assertNotEquals(round.first(), round.second());
-      assertTrue(round.held(), round.verdict());
+  void clientIsPlacedElsewhereOnceItsProviderDrains() throws Exception {
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    try (TryOut demo = new TryOut(new PrintStream(output, true, StandardCharsets.UTF_8))) {
+      Round result = demo.run(5);
+      assertEquals(5, result.returned());
+      assertNotEquals(result.first(), result.second());
+      assertTrue(result.held(), result.verdict());
     }
-    String text = told.toString(StandardCharsets.UTF_8);
+    String text = output.toString(StandardCharsets.UTF_8);
     assertTrue(text.contains("client < UP toy-"), text);
     assertTrue(text.contains("directory < GET /v1/servers?follow=1"), text);
   }
--- a/lab/src/test/java/amberhoist/lab/WorldTest.java
+++ b/lab/src/test/java/amberhoist/lab/WorldTest.java
@@ -26,7 +26,7 @@
   @TempDir
   private Path folder;
 
-  private static Experiment calm() {
+  private static Experiment readCalmExperiment() {
     List<Problem> problems = new ArrayList<>();
     Experiment experiment = ExperimentFile.read(Path.of("experiments/smoke-calm.toml"), problems);
     assertEquals(List.of(), problems);
@@ -34,20 +34,20 @@
   }
 
   @Test
-  void oneSeedBringsOneRunAndAnotherSeedAnother() {
-    Experiment experiment = calm();
-    Outcome one = new World(experiment, experiment.variants().get(0), 1, true).run();
+  void sameSeedReproducesTheRunAndAnotherDoesNot() {
+    Experiment experiment = readCalmExperiment();
+    Outcome first = new World(experiment, experiment.variants().get(0), 1, true).run();
     Outcome again = new World(experiment, experiment.variants().get(0), 1, true).run();
     Outcome other = new World(experiment, experiment.variants().get(0), 2, true).run();
-    assertEquals(one.hash(), again.hash());
-    assertEquals(one.figures(), again.figures());
-    assertEquals(one.events(), again.events());
-    assertNotEquals(one.hash(), other.hash());
-    assertTrue(one.events() > 10_000, "something happens");
+    assertEquals(first.hash(), again.hash());
+    assertEquals(first.figures(), again.figures());
+    assertEquals(first.events(), again.events());
+    assertNotEquals(first.hash(), other.hash());
+    assertTrue(first.events() > 10_000, "too few events");
   }
 
   @Test
-  void aBadExperimentIsToldAtOnceWithItsLines() throws Exception {
+  void allProblemsOfAnExperimentAreReportedWithTheirLines() throws Exception {
     Path file = Files.writeString(folder.resolve("bad.toml"), """
         length = "10s"
         warmup = "20s"
@@ -64,64 +64,64 @@
         """);
     List<Problem> problems = new ArrayList<>();
     ExperimentFile.read(file, problems);
-    List<String> told = problems.stream().map(problem -> problem.toString().replace(folder + "/", "")).toList();
-    assertEquals(5, told.size(), told.toString());
-    assertEquals("bad.toml:4: classes.0.worht: unknown key; the nearest known is classes.*.worth", told.get(0));
-    assertTrue(told.get(1).startsWith("bad.toml:8: faults.1.kind: expected one of \"hang\""), told.get(1));
-    assertEquals("bad.toml:2: warmup: is not shorter than length", told.get(2));
-    assertTrue(told.get(3).startsWith("bad.toml:10: variants.0.set: "), told.get(3));
-    assertTrue(told.get(4).contains("names no variant: nobody"), told.get(4));
+    List<String> messages = problems.stream().map(problem -> problem.toString().replace(folder + "/", "")).toList();
+    assertEquals(5, messages.size(), messages.toString());
+    assertEquals("bad.toml:4: classes.0.worht: unknown key; the nearest known is classes.*.worth", messages.get(0));
+    assertTrue(messages.get(1).startsWith("bad.toml:8: faults.1.kind: expected one of \"hang\""), messages.get(1));
+    assertEquals("bad.toml:2: warmup: is not shorter than length", messages.get(2));
+    assertTrue(messages.get(3).startsWith("bad.toml:10: variants.0.set: "), messages.get(3));
+    assertTrue(messages.get(4).contains("names no variant: nobody"), messages.get(4));
   }
 
   @Test
-  void theReferenceIsFresh() throws Exception {
+  void referencePageIsUpToDate() throws Exception {
     assertEquals(ExperimentFile.page(), Files.readString(Path.of("../docs/experiments.md")));
   }
 
   @Test
-  void theCheckerSeesWhatChanceBreaksAndTheModuleKeeps() {
+  void checkerFindsViolationsOfRandomPlacementButNotOfTheModule() {
     List<Problem> problems = new ArrayList<>();
     Experiment experiment = ExperimentFile.read(Path.of("experiments/smoke-faults.toml"), problems);
     assertEquals(List.of(), problems);
     Outcome module = new World(experiment, experiment.variants().get(0), 1, true).run();
-    Outcome chance = new World(experiment, experiment.variants().get(1), 1, true).run();
+    Outcome random = new World(experiment, experiment.variants().get(1), 1, true).run();
     assertEquals(List.of(), module.violations());
-    assertTrue(chance.violations().stream().anyMatch(found -> found.rule().contains("cold provider")));
-    assertTrue(module.figures().get("service") > chance.figures().get("service") + 0.2);
-    assertTrue(module.figures().get("moves_by_proxies") > 0, "the faults do something");
+    assertTrue(random.violations().stream().anyMatch(violation -> violation.rule().contains("cold provider")));
+    assertTrue(module.figures().get("service") > random.figures().get("service") + 0.2);
+    assertTrue(module.figures().get("moves_by_proxies") > 0, "faults cause no moves");
   }
 
   @Test
-  void aDifferenceIsClearOnlyWhereItsIntervalLeavesNothingOut() {
+  void differenceIsClearOnlyIfItsIntervalExcludesZero() {
     Difference clear = Difference.of(new double[] {0.9, 0.8, 0.85, 0.95}, new double[] {0.5, 0.45, 0.4, 0.6});
     assertTrue(clear.clear() && clear.low() > 0.3 && clear.high() < 0.5, clear.toString());
-    Difference not = Difference.of(new double[] {0.9, 0.3, 0.8, 0.2}, new double[] {0.5, 0.6, 0.4, 0.6});
-    assertTrue(!not.clear() && not.low() < 0 && not.high() > 0, not.toString());
+    Difference unclear = Difference.of(new double[] {0.9, 0.3, 0.8, 0.2}, new double[] {0.5, 0.6, 0.4, 0.6});
+    assertTrue(!unclear.clear() && unclear.low() < 0 && unclear.high() > 0, unclear.toString());
     assertThrows(IllegalArgumentException.class, () -> Difference.of(new double[] {1}, new double[0]));
   }
 
   @ParameterizedTest
   @EnumSource(value = Mutant.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-  void theCheckerCatchesEachDefectWithinThreeSeeds(Mutant mutant) {
+  void checkerDetectsEachMutantWithinThreeSeeds(Mutant mutant) {
     Experiment experiment = ExperimentFile.read(Path.of("experiments/smoke-faults.toml"), new ArrayList<>());
-    boolean caught = false;
-    for (long seed = 1; seed <= 3 && !caught; seed++) {
-      caught = !new World(experiment, experiment.variants().get(0), seed, true, mutant).run().violations().isEmpty();
+    boolean detected = false;
+    for (long seed = 1; seed <= 3 && !detected; seed++) {
+      detected = !new World(experiment, experiment.variants().get(0), seed, true, mutant).run().violations().isEmpty();
     }
-    assertTrue(caught, "nothing seen of " + mutant);
+    assertTrue(detected, "not detected: " + mutant);
   }
 
   @Test
-  void swampingColdProvidersBreaksTheirOwnRule() {
+  void overloadedColdProvidersBreakTheColdProviderRule() {
     Experiment experiment = ExperimentFile.read(Path.of("experiments/smoke-faults.toml"), new ArrayList<>());
     World world = new World(experiment, experiment.variants().get(0), 1, false, Mutant.SWAMPS_COLD);
-    assertTrue(world.run().violations().stream().anyMatch(found -> found.rule().contains("cold provider")));
+    assertTrue(world.run().violations().stream().anyMatch(violation -> violation.rule().contains("cold provider")));
   }
 
-  /** No proxy knows for certain how many others there are: the budget of a cold provider holds for the sum of them. */
+  /** Proxies only estimate how many others there are, yet together they must keep a cold provider's warm-up budget. */
   @ParameterizedTest
   @ValueSource(ints = {20, 30})
-  void coldProvidersAreNotPushedOverByTheSumOfManyProxies(int proxies) throws Exception {
+  void coldProvidersAreNotOverloadedByManyProxiesTogether(int proxies) throws Exception {
     String text = Files.readString(Path.of("experiments/smoke-ramp.toml"));
     Path file = Files.writeString(folder.resolve("ramp.toml"), text.replace("proxies = 30", "proxies = " + proxies));
     List<Problem> problems = new ArrayList<>();
@@ -131,9 +131,9 @@
     for (long seed = 1; seed <= 3; seed++) {
       Outcome module = new World(experiment, experiment.variants().get(0), seed, true).run();
       assertEquals(List.of(), module.violations());
-      assertTrue(module.figures().get("cold_peak") > 0.3, "cold ones are used");
+      assertTrue(module.figures().get("cold_peak") > 0.3, "cold providers are not used");
       World alone = new World(experiment, experiment.variants().get(0), seed, true, Mutant.RAMPS_AS_IF_ALONE);
-      assertTrue(alone.run().violations().stream().anyMatch(found -> found.rule().contains("cold provider")));
+      assertTrue(alone.run().violations().stream().anyMatch(violation -> violation.rule().contains("cold provider")));
     }
   }
 }
--- a/lab/src/test/java/amberhoist/lab/scale/ScaleWorldTest.java
+++ b/lab/src/test/java/amberhoist/lab/scale/ScaleWorldTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 class ScaleWorldTest {
-  private static final long MILLI = 1_000;
+  private static final long MILLISECOND = 1_000;
   private static final long SECOND = 1_000_000;
   private static final int REGIONS = 3;
 
@@ -18,160 +18,166 @@
     return new ScaleSettings(60, 5, 3, REGIONS, 6, changesPerDay, 0, 60, 4096, seed, faults, mutant);
   }
 
-  private static ScaleWorld harsh(long seed, ScaleMutant mutant) {
+  private static ScaleWorld harshSimulation(long seed, ScaleMutant mutant) {
     return new ScaleWorld(settings(seed, ScaleFaults.HARSH, mutant, 40_000));
   }
 
-  /** A world in which nothing goes wrong and nothing is changed but by the test. */
-  private static ScaleWorld still() {
+  /** A simulation without faults, and without changes other than those of the test. */
+  private static ScaleWorld faultFreeSimulation() {
     return new ScaleWorld(settings(1, ScaleFaults.NONE, ScaleMutant.NONE, 0));
   }
 
-  private static void assertSound(ScaleOutcome outcome) {
+  private static void assertNoViolations(ScaleOutcome outcome) {
     assertEquals(List.of(), outcome.violations());
   }
 
-  private static ControllerMachine leader(ScaleWorld world) {
-    return world.controllers().stream().filter(ControllerMachine::leads).findFirst().orElseThrow();
+  private static ControllerMachine leader(ScaleWorld simulation) {
+    return simulation.controllers().stream().filter(ControllerMachine::leads).findFirst().orElseThrow();
   }
 
   @Test
-  void noRuleBreaksUnderFaults() {
+  void noRuleIsViolatedUnderFaults() {
     List<ScaleOutcome> outcomes = LongStream.rangeClosed(1, 16).parallel()
-        .mapToObj(seed -> harsh(seed, ScaleMutant.NONE).run()).toList();
-    outcomes.forEach(ScaleWorldTest::assertSound);
-    int changes = outcomes.stream().mapToInt(each -> each.figures().get("changes").intValue()).sum();
-    int faults = outcomes.stream().mapToInt(each -> each.figures().get("controller_faults").intValue()).sum();
-    assertTrue(changes > 200 && faults > 200, changes + " changes, " + faults + " faults of controllers");
+        .mapToObj(seed -> harshSimulation(seed, ScaleMutant.NONE).run()).toList();
+    outcomes.forEach(ScaleWorldTest::assertNoViolations);
+    int changes = outcomes.stream().mapToInt(outcome -> outcome.figures().get("changes").intValue()).sum();
+    int faults = outcomes.stream().mapToInt(outcome -> outcome.figures().get("controller_faults").intValue()).sum();
+    assertTrue(changes > 200 && faults > 200, changes + " changes, " + faults + " controller faults");
   }
 
   @Test
-  void eachDefectIsSeen() {
+  void eachMutantIsDetected() {
     for (ScaleMutant mutant : ScaleMutant.values()) {
-      boolean seen = LongStream.rangeClosed(1, 40).anyMatch(seed -> !harsh(seed, mutant).run().violations().isEmpty());
-      assertEquals(mutant != ScaleMutant.NONE, seen, mutant.name());
+      boolean detected = LongStream.rangeClosed(1, 40)
+          .anyMatch(seed -> !harshSimulation(seed, mutant).run().violations().isEmpty());
+      assertEquals(mutant != ScaleMutant.NONE, detected, mutant.name());
     }
   }
 
   @Test
-  void oneSeedIsOneRun() {
-    assertEquals(harsh(9, ScaleMutant.NONE).run().reproducible(), harsh(9, ScaleMutant.NONE).run().reproducible());
+  void sameSeedReproducesTheFigures() {
+    assertEquals(harshSimulation(9, ScaleMutant.NONE).run().reproducible(),
+        harshSimulation(9, ScaleMutant.NONE).run().reproducible());
   }
 
   @Test
-  void withNothingDownAChangeIsInForceWithinOneAndAHalfSeconds() {
+  void withoutFaultsAChangeIsInForceWithin1500Millis() {
     ScaleOutcome outcome = new ScaleWorld(settings(3, ScaleFaults.NONE, ScaleMutant.NONE, 20_000)).run();
-    assertSound(outcome);
+    assertNoViolations(outcome);
     assertTrue(outcome.figures().get("changes").intValue() > 5);
     assertTrue(outcome.figures().get("in_force_max_ms").intValue() <= 1500, outcome.figures().toString());
     assertEquals(0, outcome.figures().get("not_in_force"));
   }
 
   @Test
-  void theLeaderIsLostInEachStepOfAChange() {
+  void changeComesIntoForceIfTheLeaderCrashesAtAnyStep() {
     List<ScaleOutcome> outcomes = LongStream.rangeClosed(0, 20).parallel().mapToObj(step -> {
-      ScaleWorld world = still();
-      world.at(SECOND, () -> {
-        ControllerMachine first = leader(world);
-        world.order();
-        world.at(SECOND + step * 25 * MILLI, () -> first.crash(step % 2 * 3 * SECOND));
+      ScaleWorld simulation = faultFreeSimulation();
+      simulation.at(SECOND, () -> {
+        ControllerMachine firstLeader = leader(simulation);
+        simulation.order();
+        simulation.at(SECOND + step * 25 * MILLISECOND, () -> firstLeader.crash(step % 2 * 3 * SECOND));
       });
-      return world.run();
+      return simulation.run();
     }).toList();
     outcomes.forEach(outcome -> {
-      assertSound(outcome);
-      assertEquals(0, outcome.figures().get("changes_withdrawn"), "it is in force in the end");
+      assertNoViolations(outcome);
+      assertEquals(0, outcome.figures().get("changes_withdrawn"), "the change was withdrawn");
     });
   }
 
   @Test
-  void aDistributorIsStoppedPastItsLeaseAndWokenInTheMiddleOfGrants() {
-    ScaleWorld world = still();
+  void distributorSuspendedBeyondItsLeaseViolatesNoRule() {
+    ScaleWorld simulation = faultFreeSimulation();
     for (int round = 0; round < 8; round++) {
-      ControllerMachine one = world.controllers().get(round % 5);
-      world.at((2 + 5 * round) * SECOND, () -> {
-        if (!one.leads()) {
-          one.pause(3 * SECOND);
+      ControllerMachine controller = simulation.controllers().get(round % 5);
+      simulation.at((2 + 5 * round) * SECOND, () -> {
+        if (!controller.leads()) {
+          controller.pause(3 * SECOND);
         }
       });
-      world.at((2 + 5 * round) * SECOND + 100 * MILLI, world::order);
+      simulation.at((2 + 5 * round) * SECOND + 100 * MILLISECOND, simulation::order);
     }
-    ScaleOutcome outcome = world.run();
-    assertSound(outcome);
+    ScaleOutcome outcome = simulation.run();
+    assertNoViolations(outcome);
     assertEquals(0, outcome.figures().get("not_in_force"));
   }
 
   @Test
-  void aRegionIsCutOffForLongAndChangedTwiceMeanwhile() {
-    ScaleWorld world = still();
+  void isolatedRegionStopsDecidingWhileOthersApplyChanges() {
+    ScaleWorld simulation = faultFreeSimulation();
     List<Long> cutOff = new ArrayList<>();
-    List<Long> joined = new ArrayList<>();
-    world.at(5 * SECOND, () -> {
-      world.network().cutRegion(1, Long.MAX_VALUE);
-      world.proxies().stream().filter(proxy -> proxy.zone() % REGIONS == 1)
+    List<Long> connected = new ArrayList<>();
+    simulation.at(5 * SECOND, () -> {
+      simulation.network().cutRegion(1, Long.MAX_VALUE);
+      simulation.proxies().stream().filter(proxy -> proxy.zone() % REGIONS == 1)
           .forEach(proxy -> proxy.isolated(Long.MAX_VALUE / 2));
     });
-    world.at(15 * SECOND, world::order);
-    world.at(25 * SECOND, world::order);
-    world.at(50 * SECOND, () -> world.proxies().forEach(proxy ->
-        (proxy.zone() % REGIONS == 1 ? cutOff : joined).add(proxy.decides())));
-    ScaleOutcome outcome = world.run(); // which heals it at the end
-    assertSound(outcome);
+    simulation.at(15 * SECOND, simulation::order);
+    simulation.at(25 * SECOND, simulation::order);
+    simulation.at(50 * SECOND, () -> simulation.proxies().forEach(proxy ->
+        (proxy.zone() % REGIONS == 1 ? cutOff : connected).add(proxy.decides())));
+    ScaleOutcome outcome = simulation.run(); // reconnects the region at the end
+    assertNoViolations(outcome);
     assertEquals(0, outcome.figures().get("not_in_force"));
-    assertTrue(cutOff.stream().allMatch(version -> version == -1), "decides by nothing: " + cutOff);
-    assertTrue(joined.stream().allMatch(version -> version == 2), "goes on: " + joined);
+    assertTrue(cutOff.stream().allMatch(version -> version == -1), "isolated proxies must not decide: " + cutOff);
+    assertTrue(connected.stream().allMatch(version -> version == 2),
+        "other proxies must decide by the latest version: " + connected);
   }
 
   @Test
-  void withHalfOfTheVotersDownNothingChangesAndItIsInForceOnceTheyAreBack() {
-    ScaleWorld world = still();
-    List<Long> meanwhile = new ArrayList<>();
-    world.at(2 * SECOND, () -> List.of(0, 1).forEach(i -> world.controllers().get(i).crash(30 * SECOND)));
-    world.at(4 * SECOND, world::order);
-    world.at(31 * SECOND, () -> world.proxies().forEach(proxy -> meanwhile.add(proxy.holds())));
-    ScaleOutcome outcome = world.run();
-    assertSound(outcome);
-    assertTrue(meanwhile.stream().allMatch(version -> version == 0), "held meanwhile: " + meanwhile);
-    assertTrue(world.proxies().stream().allMatch(proxy -> proxy.decides() == 1));
+  void changeWaitsForAMajorityOfVotersToReturn() {
+    ScaleWorld simulation = faultFreeSimulation();
+    List<Long> heldWhileDown = new ArrayList<>();
+    simulation.at(2 * SECOND, () -> List.of(0, 1).forEach(i -> simulation.controllers().get(i).crash(30 * SECOND)));
+    simulation.at(4 * SECOND, simulation::order);
+    simulation.at(31 * SECOND, () -> simulation.proxies().forEach(proxy -> heldWhileDown.add(proxy.holds())));
+    ScaleOutcome outcome = simulation.run();
+    assertNoViolations(outcome);
+    assertTrue(heldWhileDown.stream().allMatch(version -> version == 0), "held meanwhile: " + heldWhileDown);
+    assertTrue(simulation.proxies().stream().allMatch(proxy -> proxy.decides() == 1));
   }
 
   @Test
-  void allDistributorsOfARegionAreLostAndItsProxiesGoToOthers() {
-    ScaleWorld world = still();
+  void proxiesUseOtherRegionsIfAllDistributorsOfTheirsFail() {
+    ScaleWorld simulation = faultFreeSimulation();
     List<Long> decided = new ArrayList<>();
-    world.at(2 * SECOND, () -> world.controllers().stream().filter(machine -> machine.zone() % REGIONS == 1)
+    simulation.at(2 * SECOND, () -> simulation.controllers().stream().filter(machine -> machine.zone() % REGIONS == 1)
         .forEach(machine -> machine.crash(1000 * SECOND)));
-    world.at(20 * SECOND, world::order);
-    world.at(32 * SECOND, () -> world.proxies().forEach(proxy -> decided.add(proxy.decides())));
-    ScaleOutcome outcome = world.run();
+    simulation.at(20 * SECOND, simulation::order);
+    simulation.at(32 * SECOND, () -> simulation.proxies().forEach(proxy -> decided.add(proxy.decides())));
+    ScaleOutcome outcome = simulation.run();
     assertEquals(60, decided.stream().filter(version -> version == 1).count(), decided.toString());
-    assertSound(outcome);
+    assertNoViolations(outcome);
   }
 
   @Test
-  void afterAFullRestartThePolicyIsWhatItWas() {
-    ScaleWorld world = still();
+  void policySurvivesARestartOfAllProcesses() {
+    ScaleWorld simulation = faultFreeSimulation();
     List<Long> decided = new ArrayList<>();
-    world.at(SECOND, world::order);
-    world.at(20 * SECOND, () -> {
-      world.controllers().forEach(machine -> machine.crash(0));
-      world.proxies().forEach(proxy -> proxy.restart(0));
+    simulation.at(SECOND, simulation::order);
+    simulation.at(20 * SECOND, () -> {
+      simulation.controllers().forEach(machine -> machine.crash(0));
+      simulation.proxies().forEach(proxy -> proxy.restart(0));
     });
-    world.at(40 * SECOND, () -> world.proxies().forEach(proxy -> decided.add(proxy.decides())));
-    assertSound(world.run());
+    simulation.at(40 * SECOND, () -> simulation.proxies().forEach(proxy -> decided.add(proxy.decides())));
+    assertNoViolations(simulation.run());
     assertTrue(decided.stream().allMatch(version -> version == 1), decided.toString());
   }
 
-  /** A large document takes long for who has none of it, and a change of it no longer than any other. */
+  /**
+   * A large document takes long to reach a proxy that holds no version of it, and a change of it no longer than any
+   * other change. The byte rate of each proxy stays within its limit.
+   */
   @Test
-  void aLargeDocumentKeepsToTheBudget() {
-    ScaleWorld world = new ScaleWorld(new ScaleSettings(60, 5, 3, REGIONS, 6, 0, 0, 90, 200_000, 1, ScaleFaults.NONE,
-        ScaleMutant.NONE));
+  void largeDocumentKeepsToTheByteRateLimit() {
+    ScaleWorld simulation = new ScaleWorld(new ScaleSettings(60, 5, 3, REGIONS, 6, 0, 0, 90, 200_000, 1,
+        ScaleFaults.NONE, ScaleMutant.NONE));
     List<Long> held = new ArrayList<>();
-    world.at(SECOND, world::order);
-    world.at(60 * SECOND, () -> world.proxies().forEach(proxy -> held.add(proxy.holds())));
-    ScaleOutcome outcome = world.run();
-    assertSound(outcome);
+    simulation.at(SECOND, simulation::order);
+    simulation.at(60 * SECOND, () -> simulation.proxies().forEach(proxy -> held.add(proxy.holds())));
+    ScaleOutcome outcome = simulation.run();
+    assertNoViolations(outcome);
     assertNotNull(outcome.figures().get("bytes_per_second_most"));
     assertTrue(outcome.figures().get("bytes_per_second_most").intValue() <= 14_000, outcome.figures().toString());
   }
