--- a/deploy/archive.sh
+++ b/deploy/archive.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# Has the JVM archive the classes that a short run of the proxy loads, for deploy/serve.sh. The build stands
-# without it, so a JVM that cannot archive is no reason to fail.
+# Creates a class-data-sharing archive for deploy/serve.sh, from the classes that a short training run of the proxy
+# loads. The archive is optional, so the build does not fail on a JVM that cannot create it.
 rm -f proxy/target/amberhoist.jsa
-log=proxy/target/rehearsal.log
+log=proxy/target/training-run.log
 java -Xmx64m -Xss512k -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -XX:-UsePerfData -Djava.net.preferIPv4Stack=true \
   -XX:ArchiveClassesAtExit=proxy/target/amberhoist.jsa -jar proxy/target/amberhoist.jar rehearse example/config.json \
   >"$log" 2>&1 || echo "no class archive, see $log" >&2
--- a/deploy/serve.sh
+++ b/deploy/serve.sh
@@ -1,11 +1,11 @@
 #!/bin/sh
-# Starts the proxy in the memory that its configuration grants: `limits.memory_mb` covers all of the process, and
-# what the runtime itself takes (classes, code, threads) is about 24 MB of it. Under LB_CONFIG, as `serve` reads it.
-# It forks nothing: whoever started this sends signals to this very process, which becomes the proxy.
-mb=192
+# Starts the proxy with memory settings that follow `limits.memory_mb` of the file $LB_CONFIG, which `serve` reads too.
+# The limit covers the whole process, of which the JVM itself (classes, code, threads) takes about 24 MB.
+# The script ends with exec and starts no child process, so that signals sent to it reach the proxy.
+memory_mb=192
 mgmt=${LB_MGMT:-}
 if [ -r "${LB_CONFIG:-}" ]; then
-  found=
+  memory_found=
   while IFS= read -r line || [ -n "$line" ]; do
     case $line in
       *'"mgmt"'*) mgmt=${mgmt:-given} ;;
@@ -15,22 +15,22 @@
         line=${line#*'"memory_mb"'}
         line=${line#"${line%%[0-9]*}"}
         line=${line%%[!0-9]*}
-        mb=${line:-$mb}
-        found=yes
+        memory_mb=${line:-$memory_mb}
+        memory_found=yes
         ;;
     esac
-    [ -z "$found" ] || [ -z "$mgmt" ] || break
+    [ -z "$memory_found" ] || [ -z "$mgmt" ] || break
   done <"$LB_CONFIG"
 fi
-# Where operators have a door they start a new version beside the old one: the two share the memory.
-[ -z "$mgmt" ] || mb=$((mb / 2))
-heap=$(((mb - 24) / 2))
-[ "$heap" -ge 8 ] || heap=8
-direct=$((mb / 16))
-[ "$direct" -ge 8 ] || direct=8
-# The build's archive of loaded classes makes for quick restarts; without it the proxy runs as well.
+# With a management API, operators upgrade by starting a new process beside the old one; both share the memory.
+[ -z "$mgmt" ] || memory_mb=$((memory_mb / 2))
+heap_mb=$(((memory_mb - 24) / 2))
+[ "$heap_mb" -ge 8 ] || heap_mb=8
+direct_mb=$((memory_mb / 16))
+[ "$direct_mb" -ge 8 ] || direct_mb=8
+# The optional class-data-sharing archive of the build shortens restarts.
 archive=proxy/target/amberhoist.jsa
-[ -r "$archive" ] && archive=-XX:SharedArchiveFile=$archive || archive=-Xshare:auto
-# The platform knows IPv4 only; left to itself the runtime opens IPv6 sockets and maps addresses into them.
-exec java "-Xmx${heap}m" -Xms8m -Xss512k -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -Xshare:auto "$archive" \
-  -XX:-UsePerfData "-XX:MaxDirectMemorySize=${direct}m" -Djava.net.preferIPv4Stack=true -jar proxy/target/amberhoist.jar serve
+[ -r "$archive" ] && archive_option=-XX:SharedArchiveFile=$archive || archive_option=-Xshare:auto
+# The platform supports IPv4 only; without preferIPv4Stack the JVM opens dual-stack IPv6 sockets.
+exec java "-Xmx${heap_mb}m" -Xms8m -Xss512k -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -Xshare:auto "$archive_option" \
+  -XX:-UsePerfData "-XX:MaxDirectMemorySize=${direct_mb}m" -Djava.net.preferIPv4Stack=true -jar proxy/target/amberhoist.jar serve
