--- a/lab/src/main/java/amberhoist/lab/Flood.java
+++ b/lab/src/main/java/amberhoist/lab/Flood.java
@@ -38,8 +38,8 @@
    * @param logBytes bytes written to standard error
    * @param suppressedLines log lines suppressed by the rate limit
    */
-  record Cost(String logSettings, int answeredClients, double seconds, double cpuSeconds, long logLines, long logBytes,
-      long suppressedLines) {
+  record Cost(String logSettings, int answeredClients, double seconds, double cpuSeconds, long logLines,
+      long logBytes, long suppressedLines) {
     static String header() {
       return "| log | clients | clients/s | CPU s | CPU us/client | log lines | log bytes | suppressed |\n"
           + "| --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: |";
--- a/lab/src/main/java/amberhoist/lab/StandIn.java
+++ b/lab/src/main/java/amberhoist/lab/StandIn.java
@@ -16,7 +16,7 @@
   private final ServerSocket server;
   private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
 
-  /** Listens on this loopback port, or on any free one if it is 0. Connections are accepted after {@link #serve}. */
+  /** Listens on this loopback port, or on any free one if it is 0. Accepts only after {@link #serve}. */
   StandIn(int port) throws IOException {
     server = new ServerSocket(port, 64, InetAddress.getLoopbackAddress());
   }
--- a/lab/src/main/java/amberhoist/lab/TryOut.java
+++ b/lab/src/main/java/amberhoist/lab/TryOut.java
@@ -38,8 +38,8 @@
 
     String verdict() {
       return (held() ? "It works: " : "It does NOT work: ") + returned + " of " + sent
-          + " lines came back; the client was placed on " + first + ", and on " + second + " once " + first
-          + " drained.";
+          + " lines came back; the client was placed on " + first + ", and on " + second
+          + " once " + first + " drained.";
     }
   }
 
--- a/lab/src/main/java/amberhoist/lab/group/GroupWorld.java
+++ b/lab/src/main/java/amberhoist/lab/group/GroupWorld.java
@@ -61,8 +61,8 @@
    * @param cuts number of links cut, each in one direction
    * @param events number of simulated events
    */
-  public record Outcome(List<String> violations, int changes, int taken, List<Long> waits, long crashes, long cuts,
-      long events) {}
+  public record Outcome(List<String> violations, int changes, int taken,
+      List<Long> waits, long crashes, long cuts, long events) {}
 
   /**
    * Creates a simulation.
@@ -103,7 +103,8 @@
     checker.ends(time.now(), versions);
     List<String> violations = checker.violations().stream().map(violation -> violation.rule() + " at "
         + (violation.at() - START_MICROS) / MILLISECOND + " ms: " + violation.what()).toList();
-    return new Outcome(violations, changeCount, checker.taken(), checker.waits(), crashCount, cutCount, time.handled());
+    return new Outcome(violations, changeCount, checker.taken(), checker.waits(),
+        crashCount, cutCount, time.handled());
   }
 
   private void scheduleCheck() {
--- a/lab/src/main/java/amberhoist/lab/scale/ScaleOutcome.java
+++ b/lab/src/main/java/amberhoist/lab/scale/ScaleOutcome.java
@@ -16,9 +16,9 @@
   private static final double PERCENT = 100;
   private static final double MICROS_PER_MILLI = 1000;
 
-  static ScaleOutcome of(ScaleSettings settings, ScaleChecker checker, Operators operators, int withdrawnChanges,
-      Disturbance disturbance, List<HollowProxy> proxies, List<ControllerMachine> controllers, double durationSeconds,
-      long eventCount) {
+  static ScaleOutcome of(ScaleSettings settings, ScaleChecker checker, Operators operators,
+      int withdrawnChanges, Disturbance faultInjector, List<HollowProxy> proxies,
+      List<ControllerMachine> controllers, double durationSeconds, long eventCount) {
     Map<String, Number> figures = new LinkedHashMap<>();
     figures.put("proxies", settings.proxies());
     figures.put("controllers", settings.controllers());
@@ -29,10 +29,10 @@
     figures.put("document_bytes", settings.documentBytes());
     figures.put("changes", operators.ordered());
     figures.put("changes_withdrawn", withdrawnChanges);
-    figures.put("restarts", disturbance.restarts());
-    figures.put("machines_lost", disturbance.lost());
-    figures.put("links_cut", disturbance.cuts());
-    figures.put("controller_faults", disturbance.controllerFaults());
+    figures.put("restarts", faultInjector.restarts());
+    figures.put("machines_lost", faultInjector.lost());
+    figures.put("links_cut", faultInjector.cuts());
+    figures.put("controller_faults", faultInjector.controllerFaults());
     putDelays(figures, "in_force", checker.waits());
     putDelays(figures, "last_in_force", checker.changeWaits());
     putProxyFigures(figures, proxies, durationSeconds);
@@ -52,7 +52,8 @@
   private static void putProxyFigures(Map<String, Number> figures, List<HollowProxy> proxies, double seconds) {
     double bytes = proxies.stream().mapToLong(HollowProxy::bytes).average().orElse(0) / seconds;
     double maxBytes = proxies.stream().mapToLong(HollowProxy::windowMost).max().orElse(0) / 10.0;
-    double cpu = proxies.stream().mapToLong(HollowProxy::nanos).average().orElse(0) / NANOS_PER_SECOND / seconds;
+    double cpu = proxies.stream().mapToLong(HollowProxy::nanos).average().orElse(0) / NANOS_PER_SECOND
+        / seconds;
     figures.put("bytes_per_second_per_proxy", Math.round(bytes));
     figures.put("bytes_per_second_most", Math.round(maxBytes));
     figures.put("cpu_percent_per_proxy", roundToFourDigits(PERCENT * cpu));
--- a/lab/src/test/java/amberhoist/lab/group/GroupWorldTest.java
+++ b/lab/src/test/java/amberhoist/lab/group/GroupWorldTest.java
@@ -29,14 +29,16 @@
   @Test
   void membersRecoverWhereTheRaftLibraryGetsStuck() {
     for (long seed : new long[] {82, 2187}) {
-      assertEquals(List.of(), new GroupWorld(3, 30, seed, GroupMutant.NONE, false).run().violations(), "seed " + seed);
+      assertEquals(List.of(), new GroupWorld(3, 30, seed, GroupMutant.NONE, false).run().violations(),
+          "seed " + seed);
     }
   }
 
   @Test
   void runsIncludeChangesCrashesAndCutLinks() {
     List<GroupWorld.Outcome> outcomes = run(5, 50, GroupMutant.NONE);
-    assertTrue(outcomes.stream().mapToInt(outcome -> outcome.waits().size()).sum() > 200, "too few changes in force");
+    assertTrue(outcomes.stream().mapToInt(outcome -> outcome.waits().size()).sum() > 200,
+        "too few changes in force");
     assertTrue(outcomes.stream().mapToLong(GroupWorld.Outcome::crashes).sum() > 500, "too few crashes");
     assertTrue(outcomes.stream().mapToLong(GroupWorld.Outcome::cuts).sum() > 500, "too few links cut");
   }
--- a/lab/src/test/java/amberhoist/lab/scale/ScaleWorldTest.java
+++ b/lab/src/test/java/amberhoist/lab/scale/ScaleWorldTest.java
@@ -129,9 +129,11 @@
   void changeWaitsForAMajorityOfVotersToReturn() {
     ScaleWorld simulation = faultFreeSimulation();
     List<Long> heldWhileDown = new ArrayList<>();
-    simulation.at(2 * SECOND, () -> List.of(0, 1).forEach(i -> simulation.controllers().get(i).crash(30 * SECOND)));
+    simulation.at(2 * SECOND,
+        () -> List.of(0, 1).forEach(i -> simulation.controllers().get(i).crash(30 * SECOND)));
     simulation.at(4 * SECOND, simulation::order);
-    simulation.at(31 * SECOND, () -> simulation.proxies().forEach(proxy -> heldWhileDown.add(proxy.holds())));
+    simulation.at(31 * SECOND,
+        () -> simulation.proxies().forEach(proxy -> heldWhileDown.add(proxy.holds())));
     ScaleOutcome outcome = simulation.run();
     assertNoViolations(outcome);
     assertTrue(heldWhileDown.stream().allMatch(version -> version == 0), "held meanwhile: " + heldWhileDown);
@@ -142,8 +144,8 @@
   void proxiesUseOtherRegionsIfAllDistributorsOfTheirsFail() {
     ScaleWorld simulation = faultFreeSimulation();
     List<Long> decided = new ArrayList<>();
-    simulation.at(2 * SECOND, () -> simulation.controllers().stream().filter(machine -> machine.zone() % REGIONS == 1)
-        .forEach(machine -> machine.crash(1000 * SECOND)));
+    simulation.at(2 * SECOND, () -> simulation.controllers().stream()
+        .filter(machine -> machine.zone() % REGIONS == 1).forEach(machine -> machine.crash(1000 * SECOND)));
     simulation.at(20 * SECOND, simulation::order);
     simulation.at(32 * SECOND, () -> simulation.proxies().forEach(proxy -> decided.add(proxy.decides())));
     ScaleOutcome outcome = simulation.run();
