--- a/proxy/src/main/java/amberhoist/group/Codec.java
+++ b/proxy/src/main/java/amberhoist/group/Codec.java
@@ -17,21 +17,24 @@
 import java.util.Collection;
 import java.util.List;
 
-/** The payloads of the log's frames. Operations are commands as bytes, changes of members, or nothing. */
+/**
+ * Encodes and decodes the payloads of the log's frames: log entries, snapshot chunks and group members. The operation
+ * of an entry is a command in bytes, a membership change, or null.
+ */
 final class Codec {
-  private static final int NOTHING = 0;
+  private static final int NO_OPERATION = 0;
   private static final int COMMAND = 1;
-  private static final int MEMBERS = 2;
-  private static final int MOST_MEMBERS = 1024;
+  private static final int MEMBERSHIP_CHANGE = 2;
+  private static final int MAX_MEMBERS = 1024;
 
   final RaftModelFactory models = new DefaultRaftModelFactory();
 
-  /** Writes one payload. */
+  /** Encodes one payload. */
   interface Writer {
     void write(DataOutputStream out) throws IOException;
   }
 
-  /** Reads one payload. */
+  /** Decodes one payload. */
   interface Reader<T> {
     T read(DataInputStream in) throws IOException;
   }
@@ -89,32 +92,32 @@
       out.writeInt(command.length);
       out.write(command);
     } else if (operation instanceof UpdateRaftGroupMembersOp change) {
-      out.writeByte(MEMBERS);
+      out.writeByte(MEMBERSHIP_CHANGE);
       members(out, change.getMembers());
       members(out, change.getVotingMembers());
       member(out, change.getEndpoint());
       out.writeUTF(change.getMode().name());
     } else if (operation == null) {
-      out.writeByte(NOTHING);
+      out.writeByte(NO_OPERATION);
     } else {
-      throw new IOException("the log takes no " + operation.getClass().getName());
+      throw new IOException("cannot store an operation of type " + operation.getClass().getName());
     }
   }
 
   private Object operation(DataInputStream in) throws IOException {
     int kind = in.readByte();
     switch (kind) {
-      case NOTHING:
+      case NO_OPERATION:
         return null;
       case COMMAND:
         byte[] command = new byte[in.readInt()];
         in.readFully(command);
         return command;
-      case MEMBERS:
+      case MEMBERSHIP_CHANGE:
         return models.createUpdateRaftGroupMembersOpBuilder().setMembers(members(in)).setVotingMembers(members(in))
             .setEndpoint(member(in)).setMode(MembershipChangeMode.valueOf(in.readUTF())).build();
       default:
-        throw new IOException("an operation of kind " + kind);
+        throw new IOException("unknown operation kind " + kind);
     }
   }
 
@@ -127,8 +130,8 @@
 
   private static List<RaftEndpoint> members(DataInputStream in) throws IOException {
     int count = in.readInt();
-    if (count < 0 || count > MOST_MEMBERS) {
-      throw new IOException(count + " members");
+    if (count < 0 || count > MAX_MEMBERS) {
+      throw new IOException(count + " is not a valid number of members");
     }
     List<RaftEndpoint> members = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -137,11 +140,12 @@
     return members;
   }
 
-  /** A member, or none: a term in which no vote was given. */
+  /** Writes a member, or an empty name for null, which is a term without a vote. */
   static void member(DataOutputStream out, RaftEndpoint member) throws IOException {
     out.writeUTF(member == null ? "" : (String) member.getId());
   }
 
+  /** Reads a member; null where the name is empty. */
   static RaftEndpoint member(DataInputStream in) throws IOException {
     String name = in.readUTF();
     return name.isEmpty() ? null : new Member(name);
--- a/proxy/src/main/java/amberhoist/group/DamagedLogException.java
+++ b/proxy/src/main/java/amberhoist/group/DamagedLogException.java
@@ -2,13 +2,18 @@
 
 import java.io.IOException;
 
-/** A log that cannot be trusted: a member must not vote by it. */
+/** Thrown for a corrupt log. A member must not vote by it, since it may have lost a vote or an acknowledged entry. */
 public final class DamagedLogException extends IOException {
   private static final long serialVersionUID = 1;
 
-  /** Damage at this place, counted in bytes from the beginning. */
-  public DamagedLogException(int at, String what) {
-    super("the log is damaged at byte " + at + ": " + what
-        + "; remove the file and add this member anew, it must not vote by what is left");
+  /**
+   * Creates the exception.
+   *
+   * @param offset where the corrupt frame begins, in bytes from the start of the log
+   * @param reason what is wrong with it
+   */
+  public DamagedLogException(int offset, String reason) {
+    super("the log is corrupt at byte " + offset + ": " + reason
+        + "; remove the file and add this member to the group again, it must not vote by the rest of the log");
   }
 }
--- a/proxy/src/main/java/amberhoist/group/Disk.java
+++ b/proxy/src/main/java/amberhoist/group/Disk.java
@@ -2,17 +2,17 @@
 
 import java.io.IOException;
 
-/** The file behind a member's log. After any fault, what it holds is not known until it is read anew. */
+/** Durable storage of a member's log. After an {@link IOException} its content is unknown until it is read again. */
 public interface Disk {
-  /** All that it holds, nothing where there is no file yet. */
+  /** Returns the whole content, empty where nothing was written yet. */
   byte[] read() throws IOException;
 
-  /** Adds these at the end; after a crash they may be there in part or not at all, unless {@link #force} came first. */
+  /** Appends the bytes. Until {@link #force} returns, a crash may lose them, or leave a torn write. */
   void append(byte[] bytes) throws IOException;
 
-  /** Returns once all that was added outlives a crash. */
+  /** Returns once everything appended so far is durable. */
   void force() throws IOException;
 
-  /** Puts these in the place of all that it holds, which outlives a crash: either the old or the new. */
+  /** Replaces the whole content durably and atomically: after a crash either the old or the new content is there. */
   void replace(byte[] bytes) throws IOException;
 }
--- a/proxy/src/main/java/amberhoist/group/Frames.java
+++ b/proxy/src/main/java/amberhoist/group/Frames.java
@@ -7,59 +7,64 @@
 import java.util.zip.CRC32C;
 
 /**
- * The frames of a log file: kind (1 byte), length of the payload (4), checksum of both (4), payload, its checksum (4).
- * The head has a checksum of its own so that a damaged length is not taken for a torn end.
+ * Encodes and decodes the frames of a log file: kind (1 byte), length of the payload (4), CRC-32C of both (4), payload,
+ * its CRC-32C (4). The header has its own checksum so that a corrupt length is not mistaken for a torn write.
  */
 final class Frames {
-  private static final int HEAD = 9;
-  private static final int TAIL = 4;
-  private static final int MOST = 64 << 20; // bytes of a payload
+  private static final int HEADER_BYTES = 9;
+  private static final int TRAILER_BYTES = 4;
+  private static final int MAX_PAYLOAD_BYTES = 64 << 20;
 
-  /** One frame. */
+  /** A frame: the kind of the record that it holds, and the record's bytes. */
   record Frame(int kind, byte[] payload) {}
 
   /**
-   * What a file holds.
+   * The frames decoded from a file.
    *
-   * @param sound bytes up to the end of the last whole frame; what follows was torn
+   * @param sound length in bytes of the valid part, up to the end of the last complete frame; the rest is a torn write
    */
   record Content(List<Frame> frames, int sound) {}
 
   private Frames() {}
 
+  /** Encodes a frame. */
   static byte[] frame(int kind, byte[] payload) {
-    ByteBuffer frame = ByteBuffer.allocate(HEAD + payload.length + TAIL);
+    ByteBuffer frame = ByteBuffer.allocate(HEADER_BYTES + payload.length + TRAILER_BYTES);
     frame.put((byte) kind).putInt(payload.length);
-    frame.putInt(checksum(frame.array(), 0, HEAD - 4));
+    frame.putInt(checksum(frame.array(), 0, HEADER_BYTES - 4));
     frame.put(payload).putInt(checksum(payload, 0, payload.length));
     return frame.array();
   }
 
-  /** All frames, without an end that was torn; other damage is refused. */
+  /**
+   * Decodes all frames. A torn write at the end is left out.
+   *
+   * @throws DamagedLogException where the file is corrupt in any other way
+   */
   static Content read(byte[] file) throws DamagedLogException {
     List<Frame> frames = new ArrayList<>();
-    ByteBuffer in = ByteBuffer.wrap(file);
-    while (in.remaining() >= HEAD && !onlyZeros(file, in.position())) {
-      int at = in.position();
-      int kind = in.get();
-      int length = in.getInt();
-      if (in.getInt() != checksum(file, at, HEAD - 4) || length < 0 || length > MOST) {
-        throw new DamagedLogException(at, "a frame's head does not match its checksum");
+    ByteBuffer buffer = ByteBuffer.wrap(file);
+    while (buffer.remaining() >= HEADER_BYTES && !onlyZeros(file, buffer.position())) {
+      int offset = buffer.position();
+      int kind = buffer.get();
+      int length = buffer.getInt();
+      if (buffer.getInt() != checksum(file, offset, HEADER_BYTES - 4) || length < 0 || length > MAX_PAYLOAD_BYTES) {
+        throw new DamagedLogException(offset, "the header of a frame does not match its checksum");
       }
-      if (in.remaining() < length + TAIL) {
-        return new Content(frames, at);
+      if (buffer.remaining() < length + TRAILER_BYTES) {
+        return new Content(frames, offset);
       }
       byte[] payload = new byte[length];
-      in.get(payload);
-      if (in.getInt() != checksum(payload, 0, length)) {
-        if (onlyZeros(file, at + HEAD + length)) {
-          return new Content(frames, at); // its end was never written, the file only grew
+      buffer.get(payload);
+      if (buffer.getInt() != checksum(payload, 0, length)) {
+        if (onlyZeros(file, offset + HEADER_BYTES + length)) {
+          return new Content(frames, offset); // torn write: the file has grown, but the data was not written
         }
-        throw new DamagedLogException(at, "a frame does not match its checksum");
+        throw new DamagedLogException(offset, "the payload of a frame does not match its checksum");
       }
       frames.add(new Frame(kind, payload));
     }
-    return new Content(frames, in.position());
+    return new Content(frames, buffer.position());
   }
 
   private static boolean onlyZeros(byte[] file, int from) {
@@ -77,7 +82,7 @@
     return (int) sum.getValue();
   }
 
-  /** All of these one after the other. */
+  /** Concatenates the parts. */
   static byte[] join(List<byte[]> parts) {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     parts.forEach(all::writeBytes);
--- a/proxy/src/main/java/amberhoist/group/GroupMember.java
+++ b/proxy/src/main/java/amberhoist/group/GroupMember.java
@@ -27,46 +27,53 @@
 import java.util.function.Consumer;
 
 /**
- * One member of the group: agreement by the library, over a transport, an executor, a clock and a log from outside. All
- * that the executor runs belongs to one thread at a time.
+ * A member of the group: a Raft node of the MicroRaft library whose state machine is the rollout of the policy.
+ * Transport, executor, clock and log are passed in. Everything that the executor runs is confined to one thread at a
+ * time.
  */
 public final class GroupMember {
-  private static final RaftConfig TIMES = RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(1000)
+  private static final RaftConfig RAFT_CONFIG = RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(1000)
       .setLeaderHeartbeatPeriodSecs(1).setLeaderHeartbeatTimeoutSecs(3).setCommitCountToTakeSnapshot(64)
       .setMaxPendingLogEntryCount(1024).setAppendEntriesRequestBatchSize(64)
       .setTransferSnapshotsFromFollowersEnabled(false).setRaftNodeReportPublishPeriodSecs(60).build();
 
-  /** Is told what a member has learned, in the log's order. */
+  /** Gets a callback for each step of the state machine, in the order of the log. */
   public interface Listener {
-    /** This command stands at this index of the log; of a change that it proposes, that became. */
+    /**
+     * A committed command was applied.
+     *
+     * @param index the command's log index
+     * @param verdict the result of the change that the command proposes, null for other commands
+     */
     void applied(long index, byte[] command, Verdict verdict);
 
-    /** The member goes on from a snapshot up to this index. */
+    /** A snapshot that includes the log up to this index has replaced the state. */
     void installed(long index);
   }
 
   private final RaftNode node;
   private final Log log;
   private final Rollout rollout;
-  private long applied;
-  private boolean stuck;
+  private long appliedIndex;
+  private boolean needsRestart;
 
   /**
-   * A member that goes on by this log, or begins with it when it is empty.
+   * Creates a member that restarts from the log, or starts for the first time when the log is empty.
    *
-   * @param all the members that the group began with, this one among them
-   * @param rollout one with nothing in it, which the log leads on from its beginning or its snapshot
+   * @param initialMembers the initial members of the group, including this one
+   * @param rollout the state machine in its initial state; the member applies the snapshot and the log to it
+   * @param seed of the random election timeouts
    */
-  public GroupMember(Member self, Collection<Member> all, Log log, Rollout rollout, Transport transport,
+  public GroupMember(Member self, Collection<Member> initialMembers, Log log, Rollout rollout, Transport transport,
       RaftNodeExecutor executor, Clock clock, long seed, Listener listener) {
     this.rollout = rollout;
     this.log = log;
-    RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId("policy").setConfig(TIMES).setStore(log)
-        .setTransport(new Gate(transport)).setExecutor(executor).setClock(clock).setRandom(new Random(seed))
-        .setStateMachine(new Machine(listener));
+    RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId("policy").setConfig(RAFT_CONFIG).setStore(log)
+        .setTransport(new FencedTransport(transport)).setExecutor(executor).setClock(clock).setRandom(new Random(seed))
+        .setStateMachine(new RolloutStateMachine(listener));
     RestoredRaftState restored = log.restored();
     if (restored == null) {
-      List<RaftEndpoint> endpoints = List.copyOf(all);
+      List<RaftEndpoint> endpoints = List.copyOf(initialMembers);
       builder.setLocalEndpoint(self).setInitialGroupMembers(endpoints);
     } else {
       builder.setRestoredState(restored);
@@ -74,161 +81,171 @@
     node = builder.build();
   }
 
-  /** Begins to take part. */
+  /** Starts the Raft node. */
   public void start() {
     node.start();
   }
 
   /**
-   * A message of another member has come.
+   * Handles a message from another member.
    *
-   * @throws IOException when the log has failed
+   * @throws IOException when writing the log fails
    */
   public void handle(RaftMessage message) throws IOException {
-    if (stuck) {
+    if (needsRestart) {
       return;
     }
     if (message instanceof AppendEntriesRequest request && request.getTerm() >= term()
         && request.getPreviousLogIndex() > 0 && request.getPreviousLogIndex() == log.covered()) {
-      follow(request);
+      appendAfterSnapshot(request);
     } else {
       if (message instanceof PreVoteResponse response && !response.isGranted() && response.getTerm() > term() + 1) {
-        catchUp(response);
+        adoptTerm(response);
       }
       node.handle(message);
     }
   }
 
   /**
-   * Goes on to the term of one that is ahead. The library does not when its pre-vote is rejected for its term: a member
-   * with the longest log and the lowest term then never wins, and the others with shorter logs neither. A request for a
-   * vote, by an empty log, brings the term with it; the vote, where it is given, is one that the other may have.
+   * Adopts the term of a member that is ahead. The library does not adopt it from a rejected pre-vote. So the member
+   * with the longest log but the lowest term would never win an election, and neither would the others with their
+   * shorter logs. A vote request in the sender's name with an empty log makes the node adopt the term; if the node
+   * grants the vote, that is safe, since the sender may have it.
    */
-  private void catchUp(PreVoteResponse ahead) {
-    node.handle(log.models().createVoteRequestBuilder().setGroupId(ahead.getGroupId()).setSender(ahead.getSender())
-        .setTerm(ahead.getTerm()).setLastLogTerm(0).setLastLogIndex(0).setSticky(false).build());
+  private void adoptTerm(PreVoteResponse rejection) {
+    node.handle(log.models().createVoteRequestBuilder().setGroupId(rejection.getGroupId())
+        .setSender(rejection.getSender()).setTerm(rejection.getTerm()).setLastLogTerm(0).setLastLogIndex(0)
+        .setSticky(false).build());
   }
 
   /**
-   * Takes entries that follow right behind the latest snapshot while there are entries here, too. The library looks for
-   * the entry before them, which only the snapshot has, and would refuse them for ever. So those that are here already
-   * are left out. Where the first is another than the one here, what stands here from there on was never decided, since
-   * a leader has all that was: it is dropped, and the member has to be started anew.
+   * Handles entries that directly follow the latest snapshot while this log has entries there, too. The library looks
+   * up the entry before them, which only the snapshot includes, and would reject the request forever. So the entries
+   * that this log already contains are left out of the request. If the first entry conflicts with the one in this log,
+   * the log's entries from there on were never committed, since a leader has all committed entries: they are truncated,
+   * and the member has to be restarted.
    */
-  private void follow(AppendEntriesRequest request) throws IOException {
+  private void appendAfterSnapshot(AppendEntriesRequest request) throws IOException {
     List<LogEntry> entries = request.getLogEntries();
-    int same = 0;
-    while (same < entries.size() && log.holds(entries.get(same))) {
-      same++;
+    int matching = 0;
+    while (matching < entries.size() && log.holds(entries.get(matching))) {
+      matching++;
     }
-    if (same > 0) {
-      LogEntry last = entries.get(same - 1);
+    if (matching > 0) {
+      LogEntry last = entries.get(matching - 1);
       node.handle(log.models().createAppendEntriesRequestBuilder().setGroupId(request.getGroupId())
           .setSender(request.getSender()).setTerm(request.getTerm()).setPreviousLogIndex(last.getIndex())
           .setPreviousLogTerm(last.getTerm()).setCommitIndex(request.getCommitIndex())
-          .setLogEntries(entries.subList(same, entries.size())).setQuerySequenceNumber(request.getQuerySequenceNumber())
+          .setLogEntries(entries.subList(matching, entries.size()))
+          .setQuerySequenceNumber(request.getQuerySequenceNumber())
           .setFlowControlSequenceNumber(request.getFlowControlSequenceNumber()).build());
     } else if (!entries.isEmpty() && log.differs(entries.get(0))) {
       log.truncateLogEntriesFrom(entries.get(0).getIndex());
       log.flush();
-      stuck = true;
+      needsRestart = true;
     } else {
       node.handle(request);
     }
   }
 
-  /** Whether it can go on only after a new start by its log. */
+  /** Whether the member handles nothing more until it is restarted from its log. */
   public boolean stuck() {
-    return stuck;
+    return needsRestart;
   }
 
-  /** Asks the group for a change; fails where this member does not lead, or cannot tell what became of it. */
+  /** Proposes a change to the group; fails where this member is not the leader, or when the result is unknown. */
   public CompletableFuture<Ordered<Verdict>> change(Change change) {
-    return checked(node.replicate(Rollout.propose(change)));
+    return failIfLogFailed(node.replicate(Rollout.propose(change)));
   }
 
-  /** Asks the group to take one of the other commands of {@link Rollout}. */
+  /** Replicates another command of {@link Rollout}; fails as {@link #change} does. */
   public CompletableFuture<Ordered<Object>> command(byte[] command) {
-    return checked(node.replicate(command));
+    return failIfLogFailed(node.replicate(command));
   }
 
-  /** Ends well once a majority has confirmed, after this call, that this member leads; with the index known by then. */
+  /**
+   * Completes once a quorum has confirmed, after this call, that this member is the leader. The result has the commit
+   * index of that moment.
+   */
   public CompletableFuture<Ordered<Object>> confirm() {
-    return checked(node.query(new byte[0], QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty()));
+    return failIfLogFailed(node.query(new byte[0], QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty()));
   }
 
-  private <T> CompletableFuture<T> checked(CompletableFuture<T> answer) {
-    return answer.thenApply(decided -> {
+  private <T> CompletableFuture<T> failIfLogFailed(CompletableFuture<T> future) {
+    return future.thenApply(result -> {
       checkLog();
-      return decided;
+      return result;
     });
   }
 
-  /** How far it has followed the log. */
+  /** Returns the index of the last log entry applied, or included in the snapshot installed. */
   public long applied() {
-    return applied;
+    return appliedIndex;
   }
 
-  /** Where the log has led it. */
+  /** Returns the state machine, as of {@link #applied}. */
   public Rollout rollout() {
     return rollout;
   }
 
-  /** Whether its log has taken all so far. One whose log has failed is to be ended: it says and learns nothing more. */
+  /** Whether no write to the log has failed. If one has, the member sends and applies nothing more: terminate it. */
   public boolean sound() {
     return log.sound();
   }
 
-  /** Whether memory and disk agree: the library's memory outlives a failed write, and what {@link #follow} drops. */
-  private boolean trusted() {
-    return log.sound() && !stuck;
+  /**
+   * Whether the library's state in memory matches the log. It does not after a failed write, nor after
+   * {@link #appendAfterSnapshot} has truncated the log.
+   */
+  private boolean stateMatchesLog() {
+    return log.sound() && !needsRestart;
   }
 
   private void checkLog() {
-    if (!trusted()) {
-      throw new IllegalStateException("the log has failed, or is to be read anew");
+    if (!stateMatchesLog()) {
+      throw new IllegalStateException("the log has failed, or the member has to be restarted from it");
     }
   }
 
   /**
-   * Lets nothing out once the log has failed or is to be read anew. Guards against the library, which goes on in memory
-   * and would vote and acknowledge by what no disk holds.
+   * Drops all outgoing messages once the state in memory no longer matches the log. The library would go on with its
+   * state in memory, and would send votes and acknowledgements that are not durable.
    */
-  private final class Gate implements Transport {
-    private final Transport to;
+  private final class FencedTransport implements Transport {
+    private final Transport delegate;
 
-    Gate(Transport to) {
-      this.to = to;
+    FencedTransport(Transport delegate) {
+      this.delegate = delegate;
     }
 
     @Override
     public void send(RaftEndpoint member, RaftMessage message) {
-      if (trusted()) {
-        to.send(member, message);
+      if (stateMatchesLog()) {
+        delegate.send(member, message);
       }
     }
 
     @Override
     public boolean isReachable(RaftEndpoint member) {
-      return to.isReachable(member);
+      return delegate.isReachable(member);
     }
   }
 
-  /** The member that leads, as far as this one knows, or null. */
+  /** Returns the leader that this member knows of, or null. */
   public Member leader() {
     return (Member) node.getTerm().getLeaderEndpoint();
   }
 
-  /** The term that this member is in. */
+  /** Returns the term of this member. */
   public int term() {
     return node.getTerm().getTerm();
   }
 
-  /** What the log leads to. */
-  private final class Machine implements StateMachine {
+  /** Applies committed commands to the rollout. */
+  private final class RolloutStateMachine implements StateMachine {
     private final Listener listener;
 
-    Machine(Listener listener) {
+    RolloutStateMachine(Listener listener) {
       this.listener = listener;
     }
 
@@ -236,9 +253,9 @@
     public Object runOperation(long index, Object operation) {
       checkLog();
       byte[] command = (byte[]) operation;
-      applied = Math.max(applied, index);
+      appliedIndex = Math.max(appliedIndex, index);
       if (command.length == 0) {
-        return null; // the first entry of a new term, or a question
+        return null; // the first entry of a new term, or a linearizable query
       }
       Verdict verdict = rollout.take(command);
       listener.applied(index, command, verdict);
@@ -253,7 +270,7 @@
     @Override
     public void installSnapshot(long index, List<Object> chunks) {
       rollout.install((byte[]) chunks.get(0));
-      applied = Math.max(applied, index);
+      appliedIndex = Math.max(appliedIndex, index);
       listener.installed(index);
     }
 
--- a/proxy/src/main/java/amberhoist/group/Log.java
+++ b/proxy/src/main/java/amberhoist/group/Log.java
@@ -16,126 +16,132 @@
 import java.util.TreeMap;
 
 /**
- * What a member must not forget: its vote, its term, the entries it has acknowledged, the latest snapshot. A method
- * named for it returns only once that outlives a crash; after a fault the log takes nothing more.
+ * The durable Raft state of a member: vote, term, log entries and the latest snapshot. {@link #flush} and the methods
+ * with {@code Flush} in their names return only once everything persisted so far is durable. After a failed write every
+ * further flush fails, since the content of the storage is unknown.
  */
 public final class Log implements RaftStore {
-  private static final int SELF = 1;
-  private static final int INITIAL = 2;
+  private static final int LOCAL_ENDPOINT = 1;
+  private static final int INITIAL_MEMBERS = 2;
   private static final int TERM = 3;
   private static final int ENTRY = 4;
-  private static final int CHUNK = 5;
-  private static final int DROP_FROM = 6;
-  private static final int DROP_UNTIL = 7;
-  private static final int DROP_CHUNKS = 8;
-  private static final int LEAST_REWRITE = 64 << 10; // bytes: a smaller file is not worth it
+  private static final int SNAPSHOT_CHUNK = 5;
+  private static final int TRUNCATE_FROM = 6;
+  private static final int TRUNCATE_UNTIL = 7;
+  private static final int DELETE_SNAPSHOT = 8;
+  private static final int MIN_COMPACTION_BYTES = 64 << 10; // a smaller file is never compacted
 
   private final Codec codec = new Codec();
-  private final Disk disk;
-  private final List<byte[]> waiting = new ArrayList<>();
-  private RaftEndpointPersistentState self;
-  private RaftGroupMembersView initial;
+  private final Disk storage;
+  private final List<byte[]> pendingFrames = new ArrayList<>();
+  private RaftEndpointPersistentState localEndpoint;
+  private RaftGroupMembersView initialMembers;
   private RaftTermPersistentState term = codec.models.createRaftTermPersistentStateBuilder().setTerm(0).build();
   private final TreeMap<Long, LogEntry> entries = new TreeMap<>();
-  private final TreeMap<Long, Map<Integer, SnapshotChunk>> chunks = new TreeMap<>(); // by index
-  private long written; // bytes in the file
-  private long live; // of them at the last rewrite
-  private IOException fault;
+  private final TreeMap<Long, Map<Integer, SnapshotChunk>> chunks = new TreeMap<>(); // by log index, then chunk index
+  private long fileBytes;
+  private long bytesAfterCompaction;
+  private IOException failure;
 
   /**
-   * Reads what is there, and cuts off what a crash tore.
+   * Recovers the state from the storage, and removes a torn write at its end.
    *
-   * @throws DamagedLogException when it must not be trusted
+   * @throws DamagedLogException for a log that is corrupt in any other way
+   * @throws IOException when the storage fails, or holds a frame of an unknown kind
    */
-  public Log(Disk disk) throws IOException {
-    this.disk = disk;
-    byte[] file = disk.read();
+  public Log(Disk storage) throws IOException {
+    this.storage = storage;
+    byte[] file = storage.read();
     Frames.Content content = Frames.read(file);
     for (Frame frame : content.frames()) {
-      take(frame);
+      apply(frame);
     }
-    written = content.sound();
+    fileBytes = content.sound();
     if (content.sound() < file.length) {
-      rewrite();
+      compact();
     }
   }
 
-  private void take(Frame frame) throws IOException {
+  private void apply(Frame frame) throws IOException {
     byte[] payload = frame.payload();
     switch (frame.kind()) {
-      case SELF -> self = Codec.of(payload, in -> codec.models.createRaftEndpointPersistentStateBuilder()
-          .setLocalEndpoint(Codec.member(in)).setVoting(in.readBoolean()).build());
-      case INITIAL -> initial = Codec.of(payload, codec::view);
+      case LOCAL_ENDPOINT -> localEndpoint = Codec.of(payload,
+          in -> codec.models.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(Codec.member(in))
+              .setVoting(in.readBoolean()).build());
+      case INITIAL_MEMBERS -> initialMembers = Codec.of(payload, codec::view);
       case TERM -> term = Codec.of(payload, in -> codec.models.createRaftTermPersistentStateBuilder()
           .setTerm(in.readInt()).setVotedFor(Codec.member(in)).build());
       case ENTRY -> {
         LogEntry entry = Codec.of(payload, codec::entry);
         entries.put(entry.getIndex(), entry);
       }
-      case CHUNK -> {
+      case SNAPSHOT_CHUNK -> {
         SnapshotChunk chunk = Codec.of(payload, codec::chunk);
         chunks.computeIfAbsent(chunk.getIndex(), index -> new TreeMap<>()).put(chunk.getSnapshotChunkIndex(), chunk);
       }
-      case DROP_FROM -> entries.tailMap(Codec.of(payload, in -> in.readLong()), true).clear();
-      case DROP_UNTIL -> entries.headMap(Codec.of(payload, in -> in.readLong()), true).clear();
-      case DROP_CHUNKS -> chunks.remove(Codec.of(payload, in -> in.readLong()));
-      default -> throw new IOException("a frame of kind " + frame.kind() + ", by a later version");
+      case TRUNCATE_FROM -> entries.tailMap(Codec.of(payload, in -> in.readLong()), true).clear();
+      case TRUNCATE_UNTIL -> entries.headMap(Codec.of(payload, in -> in.readLong()), true).clear();
+      case DELETE_SNAPSHOT -> chunks.remove(Codec.of(payload, in -> in.readLong()));
+      default -> throw new IOException("unknown frame kind " + frame.kind() + ", written by a later version");
     }
   }
 
-  private List<SnapshotChunk> snapshot() {
-    List<SnapshotChunk> whole = List.of();
-    for (Map<Integer, SnapshotChunk> some : chunks.values()) {
-      SnapshotChunk any = some.values().iterator().next();
-      whole = some.size() == any.getSnapshotChunkCount() ? List.copyOf(some.values()) : whole;
+  /** Returns the chunks of the latest complete snapshot, empty where there is none. */
+  private List<SnapshotChunk> latestSnapshot() {
+    List<SnapshotChunk> latest = List.of();
+    for (Map<Integer, SnapshotChunk> candidate : chunks.values()) {
+      SnapshotChunk first = candidate.values().iterator().next();
+      latest = candidate.size() == first.getSnapshotChunkCount() ? List.copyOf(candidate.values()) : latest;
     }
-    return whole;
+    return latest;
   }
 
-  /** The index up to which the latest snapshot goes, 0 where there is none. */
+  /** Returns the last index that the latest snapshot includes, 0 where there is none. */
   long covered() {
-    List<SnapshotChunk> whole = snapshot();
-    return whole.isEmpty() ? 0 : whole.get(0).getIndex();
+    List<SnapshotChunk> snapshotChunks = latestSnapshot();
+    return snapshotChunks.isEmpty() ? 0 : snapshotChunks.get(0).getIndex();
   }
 
-  /** Whether this entry is here: two of one index and term are the same. */
+  /** Whether the log contains this entry: entries of the same index and term are equal. */
   boolean holds(LogEntry entry) {
-    LogEntry here = entries.get(entry.getIndex());
-    return here != null && here.getTerm() == entry.getTerm();
+    LogEntry existing = entries.get(entry.getIndex());
+    return existing != null && existing.getTerm() == entry.getTerm();
   }
 
-  /** Whether another entry is here in its place. */
+  /** Whether the log contains another entry at this entry's index. */
   boolean differs(LogEntry entry) {
     return entries.containsKey(entry.getIndex()) && !holds(entry);
   }
 
-  /** The library's messages are made by this. */
+  /** Returns the factory of the library's messages. */
   RaftModelFactory models() {
     return codec.models;
   }
 
-  /** What a member starts again with, or null when it has never started. */
+  /** Returns the state to restart the member with, or null when it has never started. */
   public RestoredRaftState restored() {
-    if (self == null || initial == null) {
+    if (localEndpoint == null || initialMembers == null) {
       return null;
     }
-    List<SnapshotChunk> whole = snapshot();
-    long covered = covered();
-    return new RestoredRaftState(self, initial, term, whole.isEmpty() ? null : codec.models.createSnapshotEntryBuilder()
-        .setIndex(covered).setTerm(whole.get(0).getTerm()).setSnapshotChunks(whole)
-        .setGroupMembersView(whole.get(0).getGroupMembersView()).build(),
-        List.copyOf(entries.tailMap(covered, false).values()));
+    List<SnapshotChunk> snapshotChunks = latestSnapshot();
+    long snapshotIndex = covered();
+    return new RestoredRaftState(localEndpoint, initialMembers, term,
+        snapshotChunks.isEmpty() ? null : codec.models.createSnapshotEntryBuilder().setIndex(snapshotIndex)
+            .setTerm(snapshotChunks.get(0).getTerm()).setSnapshotChunks(snapshotChunks)
+            .setGroupMembersView(snapshotChunks.get(0).getGroupMembersView()).build(),
+        List.copyOf(entries.tailMap(snapshotIndex, false).values()));
   }
 
-  private void put(int kind, Codec.Writer payload) throws IOException {
+  /** Applies a record to the state in memory and enqueues it for the next flush. */
+  private void applyAndEnqueue(int kind, Codec.Writer payload) throws IOException {
     byte[] bytes = Codec.bytes(payload);
-    take(new Frame(kind, bytes));
-    waiting.add(Frames.frame(kind, bytes));
+    apply(new Frame(kind, bytes));
+    pendingFrames.add(Frames.frame(kind, bytes));
   }
 
   @Override
   public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
-    put(SELF, out -> {
+    applyAndEnqueue(LOCAL_ENDPOINT, out -> {
       Codec.member(out, state.getLocalEndpoint());
       out.writeBoolean(state.isVoting());
     });
@@ -144,13 +150,13 @@
 
   @Override
   public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
-    put(INITIAL, out -> codec.view(out, members));
+    applyAndEnqueue(INITIAL_MEMBERS, out -> codec.view(out, members));
     flush();
   }
 
   @Override
   public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
-    put(TERM, out -> {
+    applyAndEnqueue(TERM, out -> {
       out.writeInt(state.getTerm());
       Codec.member(out, state.getVotedFor());
     });
@@ -160,89 +166,90 @@
   @Override
   public void persistLogEntries(List<LogEntry> added) throws IOException {
     for (LogEntry entry : added) {
-      put(ENTRY, out -> codec.entry(out, entry));
+      applyAndEnqueue(ENTRY, out -> codec.entry(out, entry));
     }
   }
 
   @Override
   public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-    put(CHUNK, out -> codec.chunk(out, chunk));
+    applyAndEnqueue(SNAPSHOT_CHUNK, out -> codec.chunk(out, chunk));
   }
 
   @Override
   public void truncateLogEntriesFrom(long index) throws IOException {
-    put(DROP_FROM, out -> out.writeLong(index));
+    applyAndEnqueue(TRUNCATE_FROM, out -> out.writeLong(index));
   }
 
   @Override
   public void truncateLogEntriesUntil(long index) throws IOException {
-    put(DROP_UNTIL, out -> out.writeLong(index));
+    applyAndEnqueue(TRUNCATE_UNTIL, out -> out.writeLong(index));
   }
 
   @Override
   public void deleteSnapshotChunks(long index, int count) throws IOException {
-    put(DROP_CHUNKS, out -> out.writeLong(index));
+    applyAndEnqueue(DELETE_SNAPSHOT, out -> out.writeLong(index));
   }
 
   @Override
   public void flush() throws IOException {
-    if (fault != null) {
-      throw new IOException("the log takes nothing more since: " + fault.getMessage(), fault);
+    if (failure != null) {
+      throw new IOException("the log is closed after a failed write: " + failure.getMessage(), failure);
     }
-    if (waiting.isEmpty()) {
+    if (pendingFrames.isEmpty()) {
       return;
     }
     try {
-      byte[] bytes = Frames.join(waiting);
-      waiting.clear();
-      disk.append(bytes);
-      disk.force();
-      written += bytes.length;
-      if (written > LEAST_REWRITE && written > 2 * live) {
-        rewrite();
+      byte[] bytes = Frames.join(pendingFrames);
+      pendingFrames.clear();
+      storage.append(bytes);
+      storage.force();
+      fileBytes += bytes.length;
+      if (fileBytes > MIN_COMPACTION_BYTES && fileBytes > 2 * bytesAfterCompaction) {
+        compact();
       }
-    } catch (IOException failed) {
-      fault = failed; // what the disk holds is not known any more
-      throw failed;
+    } catch (IOException exception) {
+      failure = exception; // the content of the storage is unknown from here on
+      throw exception;
     }
   }
 
-  /** Whether all that was asked of it so far has been done. */
+  /** Whether no write has failed so far. */
   public boolean sound() {
-    return fault == null;
+    return failure == null;
   }
 
-  /** Writes what still counts into the file's place. */
-  private void rewrite() throws IOException {
-    if (self != null) {
-      persistLater(SELF, out -> {
-        Codec.member(out, self.getLocalEndpoint());
-        out.writeBoolean(self.isVoting());
+  /** Compacts the log: replaces the file by one with the current state only. */
+  private void compact() throws IOException {
+    if (localEndpoint != null) {
+      enqueue(LOCAL_ENDPOINT, out -> {
+        Codec.member(out, localEndpoint.getLocalEndpoint());
+        out.writeBoolean(localEndpoint.isVoting());
       });
     }
-    if (initial != null) {
-      persistLater(INITIAL, out -> codec.view(out, initial));
+    if (initialMembers != null) {
+      enqueue(INITIAL_MEMBERS, out -> codec.view(out, initialMembers));
     }
-    persistLater(TERM, out -> {
+    enqueue(TERM, out -> {
       out.writeInt(term.getTerm());
       Codec.member(out, term.getVotedFor());
     });
-    for (Map<Integer, SnapshotChunk> some : chunks.values()) {
-      for (SnapshotChunk chunk : some.values()) {
-        persistLater(CHUNK, out -> codec.chunk(out, chunk));
+    for (Map<Integer, SnapshotChunk> snapshot : chunks.values()) {
+      for (SnapshotChunk chunk : snapshot.values()) {
+        enqueue(SNAPSHOT_CHUNK, out -> codec.chunk(out, chunk));
       }
     }
     for (LogEntry entry : entries.values()) {
-      persistLater(ENTRY, out -> codec.entry(out, entry));
+      enqueue(ENTRY, out -> codec.entry(out, entry));
     }
-    byte[] all = Frames.join(waiting);
-    waiting.clear();
-    disk.replace(all);
-    written = all.length;
-    live = all.length;
+    byte[] state = Frames.join(pendingFrames);
+    pendingFrames.clear();
+    storage.replace(state);
+    fileBytes = state.length;
+    bytesAfterCompaction = state.length;
   }
 
-  private void persistLater(int kind, Codec.Writer payload) throws IOException {
-    waiting.add(Frames.frame(kind, Codec.bytes(payload)));
+  /** Enqueues a record for the next write, without applying it. */
+  private void enqueue(int kind, Codec.Writer payload) throws IOException {
+    pendingFrames.add(Frames.frame(kind, Codec.bytes(payload)));
   }
 }
--- a/proxy/src/main/java/amberhoist/group/Member.java
+++ b/proxy/src/main/java/amberhoist/group/Member.java
@@ -2,12 +2,16 @@
 
 import io.microraft.RaftEndpoint;
 
-/** A member of the group, by the name that the operator's file gives it. */
+/** Identifies a member of the group by the name given to it in the operator's configuration file. */
 public record Member(String name) implements RaftEndpoint {
-  /** Refuses a member without a name. */
+  /**
+   * Checks the name.
+   *
+   * @throws IllegalArgumentException for a null or blank name
+   */
   public Member {
     if (name == null || name.isBlank()) {
-      throw new IllegalArgumentException("a member needs a name");
+      throw new IllegalArgumentException("a group member needs a name");
     }
   }
 
--- a/proxy/src/main/java/amberhoist/group/disk/FileDisk.java
+++ b/proxy/src/main/java/amberhoist/group/disk/FileDisk.java
@@ -9,18 +9,18 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** A log in a folder of the member's own. */
+/** Stores the log in a file, in a directory used by this member alone. */
 public final class FileDisk implements Disk, AutoCloseable {
   private final Path file;
-  private final Path fresh;
+  private final Path temporaryFile;
   private FileChannel channel;
 
-  /** The log in this folder, which is made where it is missing. */
-  public FileDisk(Path folder) throws IOException {
-    Files.createDirectories(folder);
-    file = folder.resolve("group.log");
-    fresh = folder.resolve("group.log.new");
-    Files.deleteIfExists(fresh); // a crash came before it was in place
+  /** Opens the log in this directory; creates directory and log where they are missing. */
+  public FileDisk(Path directory) throws IOException {
+    Files.createDirectories(directory);
+    file = directory.resolve("group.log");
+    temporaryFile = directory.resolve("group.log.new");
+    Files.deleteIfExists(temporaryFile); // left by a crash before it was renamed
     open();
   }
 
@@ -28,7 +28,7 @@
     boolean existed = Files.exists(file);
     channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.APPEND);
     if (!existed) {
-      forceFolder();
+      syncDirectory();
     }
   }
 
@@ -42,10 +42,10 @@
     write(channel, bytes);
   }
 
-  private static void write(FileChannel to, byte[] bytes) throws IOException {
-    ByteBuffer left = ByteBuffer.wrap(bytes);
-    while (left.hasRemaining()) {
-      to.write(left);
+  private static void write(FileChannel target, byte[] bytes) throws IOException {
+    ByteBuffer buffer = ByteBuffer.wrap(bytes);
+    while (buffer.hasRemaining()) {
+      target.write(buffer);
     }
   }
 
@@ -56,21 +56,21 @@
 
   @Override
   public void replace(byte[] bytes) throws IOException {
-    try (FileChannel to = FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
-        StandardOpenOption.WRITE)) {
-      write(to, bytes);
-      to.force(true);
+    try (FileChannel target = FileChannel.open(temporaryFile, StandardOpenOption.CREATE,
+        StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
+      write(target, bytes);
+      target.force(true);
     }
     channel.close();
-    Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-    forceFolder();
+    Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    syncDirectory();
     open();
   }
 
-  /** Without it a crash may bring back the name of the old file. */
-  private void forceFolder() throws IOException {
-    try (FileChannel folder = FileChannel.open(file.getParent(), StandardOpenOption.READ)) {
-      folder.force(true);
+  /** Syncs the directory. Without it a crash may undo the creation or the renaming of the file. */
+  private void syncDirectory() throws IOException {
+    try (FileChannel directory = FileChannel.open(file.getParent(), StandardOpenOption.READ)) {
+      directory.force(true);
     }
   }
 
--- a/proxy/src/main/java/amberhoist/group/package-info.java
+++ b/proxy/src/main/java/amberhoist/group/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Agreement among the instances of a fleet: members, the durable log, one member. Decisions only: sockets, files,
- * threads and clock come from outside ({@code docs/design/policy.md}). Nothing of it is loaded where no group is
- * configured.
+ * The consensus group in which the instances of a fleet agree on the policy: a Raft node by the MicroRaft library, its
+ * state machine and its durable log. Transport, executor, storage and clock are passed in
+ * ({@code docs/design/policy.md}). No class of this package is loaded where no group is configured.
  */
 package amberhoist.group;
--- a/proxy/src/test/java/amberhoist/group/LogTest.java
+++ b/proxy/src/test/java/amberhoist/group/LogTest.java
@@ -24,12 +24,12 @@
   private static final Codec CODEC = new Codec();
   private static final List<RaftEndpoint> MEMBERS = List.of(new Member("a"), new Member("b"), new Member("c"));
 
-  /** A disk in memory, which counts what it is asked for and can fail. */
-  private static final class Memory implements Disk {
+  /** Storage in memory that counts calls and can fail. */
+  private static final class MemoryStorage implements Disk {
     private byte[] file = new byte[0];
-    private int forced;
-    private int replaced;
-    private boolean full;
+    private int forceCount;
+    private int compactions;
+    private boolean isFull;
 
     @Override
     public byte[] read() {
@@ -38,7 +38,7 @@
 
     @Override
     public void append(byte[] bytes) throws IOException {
-      if (full) {
+      if (isFull) {
         throw new IOException("full");
       }
       int before = file.length;
@@ -48,12 +48,12 @@
 
     @Override
     public void force() {
-      forced++;
+      forceCount++;
     }
 
     @Override
     public void replace(byte[] bytes) {
-      replaced++;
+      compactions++;
       file = bytes.clone();
     }
   }
@@ -72,9 +72,9 @@
         .setVotedFor(member == null ? null : new Member(member)).build());
   }
 
-  /** A log with a member, a vote and three entries. */
-  private static Log begun(Disk disk) throws IOException {
-    Log log = new Log(disk);
+  /** Returns a log with a member, a vote and three entries. */
+  private static Log startedLog(Disk storage) throws IOException {
+    Log log = new Log(storage);
     log.persistAndFlushLocalEndpoint(CODEC.models.createRaftEndpointPersistentStateBuilder()
         .setLocalEndpoint(MEMBERS.get(0)).setVoting(true).build());
     log.persistAndFlushInitialGroupMembers(view());
@@ -89,127 +89,127 @@
   }
 
   @Test
-  void whatWasForcedIsThereAgain() throws IOException {
-    Memory disk = new Memory();
-    begun(disk);
-    RestoredRaftState again = new Log(disk).restored();
+  void recoversFlushedState() throws IOException {
+    MemoryStorage storage = new MemoryStorage();
+    startedLog(storage);
+    RestoredRaftState again = new Log(storage).restored();
     assertEquals(MEMBERS.get(0), again.getLocalEndpointPersistentState().getLocalEndpoint());
     assertEquals(MEMBERS, List.copyOf(again.getInitialGroupMembers().getMembers()));
     assertEquals(4, again.getTermPersistentState().getTerm());
     assertEquals(new Member("b"), again.getTermPersistentState().getVotedFor());
     assertEquals(List.of(1L, 2L, 3L), indexes(again));
     assertArrayEquals(new byte[7], (byte[]) again.getLogEntries().get(2).getOperation());
-    assertNull(new Log(new Memory()).restored(), "never started");
+    assertNull(new Log(new MemoryStorage()).restored(), "never started");
   }
 
   @Test
-  void eachVoteIsForcedBeforeItCounts() throws IOException {
-    Memory disk = new Memory();
-    Log log = begun(disk);
-    int before = disk.forced;
+  void flushesEachVoteButNoEntryBeforeFlush() throws IOException {
+    MemoryStorage storage = new MemoryStorage();
+    Log log = startedLog(storage);
+    int before = storage.forceCount;
     vote(log, 5, null);
-    assertEquals(before + 1, disk.forced);
-    assertNull(new Log(disk).restored().getTermPersistentState().getVotedFor());
+    assertEquals(before + 1, storage.forceCount);
+    assertNull(new Log(storage).restored().getTermPersistentState().getVotedFor());
     log.persistLogEntries(List.of(entry(4, 5, 1)));
-    assertEquals(List.of(1L, 2L, 3L), indexes(new Log(disk).restored()), "not before it is flushed");
+    assertEquals(List.of(1L, 2L, 3L), indexes(new Log(storage).restored()), "not durable before the flush");
   }
 
   @Test
-  void anEndThatWasTornIsCutWhereverItTore() throws IOException {
-    Memory whole = new Memory();
-    Log log = begun(whole);
+  void recoversFromTornWriteAtAnyByte() throws IOException {
+    MemoryStorage whole = new MemoryStorage();
+    Log log = startedLog(whole);
     int before = whole.file.length;
     vote(log, 9, "c");
     for (int length = before; length < whole.file.length; length++) {
-      for (boolean grown : List.of(false, true)) { // the file may have grown before the bytes were there
-        Memory torn = new Memory();
+      for (boolean grown : List.of(false, true)) { // the file may have grown before its data was written
+        MemoryStorage torn = new MemoryStorage();
         torn.file = Arrays.copyOf(Arrays.copyOf(whole.file, length), grown ? whole.file.length + 100 : length);
         if (grown && length > before) {
-          continue; // within a frame that is whole by its length: the next test
+          continue; // a frame of full length with wrong content: tested below
         }
         Log again = new Log(torn);
         assertEquals(4, again.restored().getTermPersistentState().getTerm(), "torn at " + length);
         vote(again, 7, "a");
-        assertEquals(7, new Log(torn).restored().getTermPersistentState().getTerm(), "and goes on");
+        assertEquals(7, new Log(torn).restored().getTermPersistentState().getTerm(), "writable after recovery");
       }
     }
   }
 
   @Test
-  void oneFlippedBitAnywhereIsRefusedAndNamed() throws IOException {
-    Memory whole = new Memory();
-    begun(whole);
+  void reportsAnyFlippedBitAsCorruption() throws IOException {
+    MemoryStorage whole = new MemoryStorage();
+    startedLog(whole);
     for (int bit = 0; bit < 8 * whole.file.length; bit++) {
-      Memory flipped = new Memory();
+      MemoryStorage flipped = new MemoryStorage();
       flipped.file = whole.file.clone();
       flipped.file[bit / 8] ^= (byte) (1 << bit % 8);
-      DamagedLogException refused = assertThrows(DamagedLogException.class, () -> new Log(flipped));
-      assertTrue(refused.getMessage().contains("damaged at byte"), refused.getMessage());
+      DamagedLogException thrown = assertThrows(DamagedLogException.class, () -> new Log(flipped));
+      assertTrue(thrown.getMessage().contains("corrupt at byte"), thrown.getMessage());
     }
   }
 
   @Test
-  void droppedEntriesStayDropped() throws IOException {
-    Memory disk = new Memory();
-    Log log = begun(disk);
+  void truncatedEntriesStayTruncated() throws IOException {
+    MemoryStorage storage = new MemoryStorage();
+    Log log = startedLog(storage);
     log.truncateLogEntriesFrom(3);
     log.persistLogEntries(List.of(entry(3, 5, 1), entry(4, 5, 1)));
     log.truncateLogEntriesUntil(1);
     log.flush();
-    assertEquals(List.of(2L, 3L, 4L), indexes(new Log(disk).restored()));
-    assertEquals(5, new Log(disk).restored().getLogEntries().get(1).getTerm());
+    assertEquals(List.of(2L, 3L, 4L), indexes(new Log(storage).restored()));
+    assertEquals(5, new Log(storage).restored().getLogEntries().get(1).getTerm());
   }
 
   @Test
-  void aSnapshotCountsOnceAllItsPartsAreThere() throws IOException {
-    Memory disk = new Memory();
-    Log log = begun(disk);
+  void usesSnapshotOnceAllChunksAreThere() throws IOException {
+    MemoryStorage storage = new MemoryStorage();
+    Log log = startedLog(storage);
     for (int part = 0; part < 2; part++) {
       log.persistSnapshotChunk(CODEC.models.createSnapshotChunkBuilder().setIndex(2).setTerm(4)
           .setSnapshotChunkIndex(part).setSnapshotChunkCount(2).setOperation(new byte[] {1})
           .setGroupMembersView(view()).build());
       log.flush();
-      RestoredRaftState again = new Log(disk).restored();
+      RestoredRaftState again = new Log(storage).restored();
       assertEquals(part == 1, again.getSnapshotEntry() != null && again.getSnapshotEntry().getIndex() == 2);
       assertEquals(part == 1 ? List.of(3L) : List.of(1L, 2L, 3L), indexes(again));
     }
     log.deleteSnapshotChunks(2, 2);
     log.flush();
-    assertEquals(List.of(1L, 2L, 3L), indexes(new Log(disk).restored()));
+    assertEquals(List.of(1L, 2L, 3L), indexes(new Log(storage).restored()));
   }
 
   @Test
-  void theFileIsWrittenAnewWhenMostOfItIsDead() throws IOException {
-    Memory disk = new Memory();
-    Log log = begun(disk);
+  void compactsFileWhenMostOfItIsObsolete() throws IOException {
+    MemoryStorage storage = new MemoryStorage();
+    Log log = startedLog(storage);
     for (long index = 4; index < 500; index++) {
       log.persistLogEntries(List.of(entry(index, 5, 1000)));
       log.truncateLogEntriesUntil(index - 1);
       log.flush();
     }
-    assertTrue(disk.replaced > 2, disk.replaced + " times");
-    assertTrue(disk.file.length < 200_000, disk.file.length + " bytes of half a million");
-    RestoredRaftState again = new Log(disk).restored();
+    assertTrue(storage.compactions > 2, storage.compactions + " compactions");
+    assertTrue(storage.file.length < 200_000, storage.file.length + " bytes, of half a million written");
+    RestoredRaftState again = new Log(storage).restored();
     assertEquals(List.of(499L), indexes(again));
     assertEquals(4, again.getTermPersistentState().getTerm());
   }
 
   @Test
-  void afterAFailedWriteNothingMoreIsTaken() throws IOException {
-    Memory disk = new Memory();
-    Log log = begun(disk);
-    disk.full = true;
+  void rejectsWritesAfterFailedWrite() throws IOException {
+    MemoryStorage storage = new MemoryStorage();
+    Log log = startedLog(storage);
+    storage.isFull = true;
     assertThrows(IOException.class, () -> vote(log, 5, "c"));
-    disk.full = false;
+    storage.isFull = false;
     assertFalse(log.sound());
     assertThrows(IOException.class, () -> vote(log, 6, "c"));
-    assertEquals(4, new Log(disk).restored().getTermPersistentState().getTerm());
+    assertEquals(4, new Log(storage).restored().getTermPersistentState().getTerm());
   }
 
   @Test
-  void aFileHoldsWhatMemoryDoes(@TempDir Path folder) throws IOException {
-    try (FileDisk disk = new FileDisk(folder.resolve("m"))) {
-      Log log = begun(disk);
+  void recoversFromCompactedFile(@TempDir Path folder) throws IOException {
+    try (FileDisk storage = new FileDisk(folder.resolve("m"))) {
+      Log log = startedLog(storage);
       for (long index = 4; index < 200; index++) {
         log.persistLogEntries(List.of(entry(index, 5, 1000)));
         log.truncateLogEntriesUntil(index - 1);
@@ -218,9 +218,9 @@
     }
     Path file = folder.resolve("m/group.log");
     assertTrue(Files.size(file) < 200_000);
-    Files.write(folder.resolve("m/group.log.new"), new byte[9]); // a crash before it was in place
-    try (FileDisk disk = new FileDisk(folder.resolve("m"))) {
-      assertEquals(List.of(199L), indexes(new Log(disk).restored()));
+    Files.write(folder.resolve("m/group.log.new"), new byte[9]); // left by a crash before it was renamed
+    try (FileDisk storage = new FileDisk(folder.resolve("m"))) {
+      assertEquals(List.of(199L), indexes(new Log(storage).restored()));
       assertFalse(Files.exists(folder.resolve("m/group.log.new")));
     }
   }
