--- a/proxy/src/main/java/amberhoist/rollout/Bytes.java
+++ b/proxy/src/main/java/amberhoist/rollout/Bytes.java
@@ -8,14 +8,16 @@
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 
-/** Commands and snapshots as bytes. */
+/** Encodes and decodes commands and snapshots. */
 final class Bytes {
   private Bytes() {}
 
+  /** Encodes one value. */
   interface Writer {
     void write(DataOutputStream out) throws IOException;
   }
 
+  /** Decodes one value. */
   interface Reader<T> {
     T read(DataInputStream in) throws IOException;
   }
@@ -24,20 +26,22 @@
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try {
       writer.write(new DataOutputStream(bytes));
-    } catch (IOException never) {
-      throw new UncheckedIOException(never);
+    } catch (IOException impossible) {
+      throw new UncheckedIOException(impossible);
     }
     return bytes.toByteArray();
   }
 
+  /** Decodes a value; throws an {@link UncheckedIOException} where the bytes end too early. */
   static <T> T read(byte[] bytes, Reader<T> reader) {
     try {
       return reader.read(new DataInputStream(new ByteArrayInputStream(bytes)));
-    } catch (IOException cut) {
-      throw new UncheckedIOException(cut);
+    } catch (IOException truncated) {
+      throw new UncheckedIOException(truncated);
     }
   }
 
+  /** Writes a string of any length: its length in bytes (4), then its UTF-8. */
   static void text(DataOutputStream out, String text) throws IOException {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     out.writeInt(bytes.length);
--- a/proxy/src/main/java/amberhoist/rollout/Leases.java
+++ b/proxy/src/main/java/amberhoist/rollout/Leases.java
@@ -5,75 +5,83 @@
 import java.util.Map;
 
 /**
- * Leases, as the leader grants them and as a member holds one. Times are each one's own monotonic clock, in micros;
- * no two of these need to agree, but in their rates to within {@link #DRIFT}.
+ * Leases on the policy, as the leader grants them and as a member holds one. Times are in microseconds of the caller's
+ * own monotonic clock. The clocks of two members need not agree, but their rates differ by {@link #DRIFT} at most.
  */
 public final class Leases {
-  /** How long a lease lasts from the moment when it was asked for. */
+  /** Duration of a lease in microseconds, counted from its request. */
   public static final long LENGTH = 2_000_000;
-  /** By so much, as a part, a clock may go faster or slower than another. */
+  /** Greatest difference between the rates of two clocks, as a fraction. */
   public static final double DRIFT = 0.02;
-  /** A change that cannot be concluded in this time is withdrawn. */
+  /** A change that cannot come into force within this time is withdrawn; in microseconds. */
   public static final long DEADLINE = 10_000_000;
 
   private Leases() {}
 
-  /** What a member may do. */
+  /** The lease that a member holds. */
   public static final class Holder {
-    private long until = Long.MIN_VALUE;
-    private long index;
+    private long leaseEnd = Long.MIN_VALUE;
+    private long requiredIndex;
 
-    /** A lease that was asked for at that time has been granted: it holds once the log is known up to this index. */
-    public void granted(long askedAt, long upTo) {
+    /**
+     * The leader has granted a lease.
+     *
+     * @param askedAt when it was requested
+     * @param logIndex the lease is valid once the log is applied up to this index
+     */
+    public void granted(long askedAt, long logIndex) {
       long end = askedAt + (long) (LENGTH * (1 - DRIFT));
-      if (end > until) {
-        until = end;
-        index = upTo;
+      if (end > leaseEnd) {
+        leaseEnd = end;
+        requiredIndex = logIndex;
       }
     }
 
-    /** When the lease ends, or {@code Long.MIN_VALUE} where none holds by what is known of the log. */
-    public long until(long applied) {
-      return applied >= index ? until : Long.MIN_VALUE;
+    /** Returns when the lease ends; {@code Long.MIN_VALUE} where none is valid with the log applied this far. */
+    public long until(long appliedIndex) {
+      return appliedIndex >= requiredIndex ? leaseEnd : Long.MIN_VALUE;
     }
 
-    /** The version to decide by now, or -1: a member without a lease, or with a change under way, takes nothing new. */
-    public long decides(long now, long applied, Rollout rollout) {
-      return now < until && applied >= index && !rollout.pending() ? rollout.inForce() : -1;
+    /**
+     * Returns the policy version that decisions may use now, or -1: without a lease, or with a change pending, a member
+     * accepts no new requests.
+     */
+    public long decides(long now, long appliedIndex, Rollout rollout) {
+      return now < leaseEnd && appliedIndex >= requiredIndex && !rollout.pending() ? rollout.inForce() : -1;
     }
   }
 
-  /** What the leader of one term grants and concludes. */
+  /** The leases that the leader of one term grants, and the changes that it concludes. */
   public static final class Granter {
-    private final long leadsSince;
-    private final Map<String, Long> grantedAt = new HashMap<>();
+    private final long leaderSince;
+    private final Map<String, Long> lastGrantAt = new HashMap<>();
     private long pendingSince;
     private long pendingVersion = -1;
-    private long concluding = -1;
+    private long concludingVersion = -1;
 
-    /** A leader since then: whoever led before may have granted a lease just now. */
+    /** Starts as a leader now. The leader before may have granted leases until this moment. */
     public Granter(long now) {
-      leadsSince = now;
+      leaderSince = now;
     }
 
     /**
-     * Whether this member may have a lease now. Not while a change is being put in force without it: it would hold one
-     * and decide by the version before.
+     * Grants a lease to this member; returns false where it must not have one now. That is while a change comes into
+     * force which the member has not prepared: with a lease it would decide by the version before.
      */
     public boolean grants(String member, long now, Rollout rollout) {
-      if (rollout.pending() && rollout.latest() == concluding && !rollout.prepared().contains(member)) {
+      if (rollout.pending() && rollout.latest() == concludingVersion && !rollout.prepared().contains(member)) {
         return false;
       }
-      grantedAt.put(member, now);
+      lastGrantAt.put(member, now);
       return true;
     }
 
-    private boolean mayHold(String member, long now) {
-      long last = Math.max(leadsSince, grantedAt.getOrDefault(member, Long.MIN_VALUE));
-      return now <= last + (long) (LENGTH * (1 + DRIFT));
+    private boolean mayHoldLease(String member, long now) {
+      long latestGrantAt = Math.max(leaderSince, lastGrantAt.getOrDefault(member, Long.MIN_VALUE));
+      return now <= latestGrantAt + (long) (LENGTH * (1 + DRIFT));
     }
 
-    /** The command that ends the change under way, or null while it is too early. */
+    /** Returns the command that concludes the pending change, or null where none is pending or it is too early. */
     public byte[] conclude(long now, Collection<String> members, Rollout rollout) {
       if (!rollout.pending()) {
         return null;
@@ -82,12 +90,13 @@
         pendingVersion = rollout.latest();
         pendingSince = now;
       }
-      boolean all = members.stream().allMatch(each -> rollout.prepared().contains(each) || !mayHold(each, now));
-      if (all) {
-        concluding = pendingVersion;
+      boolean allReady =
+          members.stream().allMatch(each -> rollout.prepared().contains(each) || !mayHoldLease(each, now));
+      if (allReady) {
+        concludingVersion = pendingVersion;
         return Rollout.conclude(pendingVersion, true);
       }
-      return now > pendingSince + DEADLINE && concluding != pendingVersion
+      return now > pendingSince + DEADLINE && concludingVersion != pendingVersion
           ? Rollout.conclude(pendingVersion, false) : null;
     }
   }
--- a/proxy/src/main/java/amberhoist/rollout/Rollout.java
+++ b/proxy/src/main/java/amberhoist/rollout/Rollout.java
@@ -7,26 +7,27 @@
 import java.util.TreeSet;
 
 /**
- * The steps of a change, as the group's log leads every member through them alike: proposed, prepared by members,
- * concluded, which is in force or withdrawn. One change is under way at a time.
+ * The replicated state machine of a policy change. A change is proposed, prepared by the members, and concluded: it
+ * comes into force or is withdrawn. One change is pending at a time. Every member applies the same commands in the
+ * order of the log, and so reaches the same state.
  */
 public class Rollout {
   private static final int PROPOSE = 1;
   private static final int PREPARED = 2;
   private static final int CONCLUDE = 3;
 
-  private final Sequence sequence;
-  private final Set<String> prepared = new TreeSet<>();
-  private boolean pending;
-  private long inForce;
-  private String document = "";
+  private final Sequence versions;
+  private final Set<String> preparedMembers = new TreeSet<>();
+  private boolean hasPending;
+  private long inForceVersion;
+  private String inForceDocument = "";
 
-  /** The steps of the changes of this sequence, which is an empty one. */
-  public Rollout(Sequence sequence) {
-    this.sequence = sequence;
+  /** Creates the initial state, over an empty sequence of versions. */
+  public Rollout(Sequence versions) {
+    this.versions = versions;
   }
 
-  /** The command by which a change is proposed. */
+  /** Encodes the command that proposes a change. */
   public static byte[] propose(Change change) {
     byte[] bytes = change.bytes();
     return Bytes.write(out -> {
@@ -36,12 +37,12 @@
     });
   }
 
-  /** The change that such a command proposes. */
+  /** Decodes the change that such a command proposes. */
   public static Change proposed(byte[] command) {
     return Change.of(Arrays.copyOfRange(command, 5, command.length));
   }
 
-  /** The command that tells that a member has prepared this version: it decides by none until that is concluded. */
+  /** Encodes the command of a member that has prepared this version, and uses none until the change is concluded. */
   public static byte[] prepared(String member, long version) {
     return Bytes.write(out -> {
       out.writeByte(PREPARED);
@@ -50,7 +51,11 @@
     });
   }
 
-  /** The command that ends the change to this version; of several the first counts. */
+  /**
+   * Encodes the command that concludes the change to this version. If there are several, the first one counts.
+   *
+   * @param force whether the version comes into force, else it is withdrawn
+   */
   public static byte[] conclude(long version, boolean force) {
     return Bytes.write(out -> {
       out.writeByte(CONCLUDE);
@@ -59,7 +64,7 @@
     });
   }
 
-  /** Takes the log's next command; what became of a change, when it is one that is proposed, else null. */
+  /** Applies the next command of the log; returns the result of a proposed change, null for other commands. */
   public Verdict take(byte[] command) {
     return Bytes.read(command, in -> {
       int kind = in.readByte();
@@ -67,95 +72,95 @@
         case PROPOSE:
           byte[] bytes = new byte[in.readInt()];
           in.readFully(bytes);
-          return propose(bytes);
+          return applyProposal(bytes);
         case PREPARED:
           String member = in.readUTF();
-          if (in.readLong() == sequence.version() && pending) {
-            prepared.add(member);
+          if (in.readLong() == versions.version() && hasPending) {
+            preparedMembers.add(member);
           }
           return null;
         case CONCLUDE:
-          if (in.readLong() == sequence.version() && pending) {
-            pending = false;
-            prepared.clear();
+          if (in.readLong() == versions.version() && hasPending) {
+            hasPending = false;
+            preparedMembers.clear();
             if (in.readBoolean()) {
-              inForce = sequence.version();
-              document = sequence.document();
+              inForceVersion = versions.version();
+              inForceDocument = versions.document();
             }
           }
           return null;
         default:
-          throw new IllegalArgumentException("a command of kind " + kind + ", by a later version");
+          throw new IllegalArgumentException("unknown command kind " + kind + ", written by a later version");
       }
     });
   }
 
-  private Verdict propose(byte[] bytes) {
-    long before = sequence.version();
-    Verdict verdict = sequence.take(Change.of(bytes), !pending);
-    pending |= sequence.version() != before;
-    return verdict;
+  private Verdict applyProposal(byte[] bytes) {
+    long versionBefore = versions.version();
+    Verdict result = versions.take(Change.of(bytes), !hasPending);
+    hasPending |= versions.version() != versionBefore;
+    return result;
   }
 
-  /** The version that may be decided by; nobody may while {@link #pending}. */
+  /** Returns the version in force. No member may use it while a change is {@link #pending}. */
   public long inForce() {
-    return inForce;
+    return inForceVersion;
   }
 
-  /** Its document. */
+  /** Returns the document in force, empty before the first change. */
   public String document() {
-    return document;
+    return inForceDocument;
   }
 
-  /** The latest version, in force, under way or withdrawn: what the next change is to be made from. */
+  /** Returns the latest version, be it in force, pending or withdrawn: the next change must be based on it. */
   public long latest() {
-    return sequence.version();
+    return versions.version();
   }
 
-  /** The document of the latest version. */
+  /** Returns the document of the latest version. */
   public String latestDocument() {
-    return sequence.document();
+    return versions.document();
   }
 
-  /** Whether the latest version is not concluded yet. */
+  /** Whether the latest version is proposed but not concluded. */
   public boolean pending() {
-    return pending;
+    return hasPending;
   }
 
-  /** The members that have prepared it. */
+  /** Returns the members that have prepared the pending version. */
   public Set<String> prepared() {
-    return Set.copyOf(prepared);
+    return Set.copyOf(preparedMembers);
   }
 
-  /** All of it, for a member that has been away for long. */
+  /** Encodes the whole state, for a member that lacks entries which are no longer in the log. */
   public byte[] snapshot() {
-    byte[] rest = sequence.snapshot();
+    byte[] versionsSnapshot = versions.snapshot();
     return Bytes.write(out -> {
-      out.writeLong(inForce);
-      Bytes.text(out, document);
-      out.writeBoolean(pending);
-      out.writeInt(prepared.size());
-      for (String member : prepared) {
+      out.writeLong(inForceVersion);
+      Bytes.text(out, inForceDocument);
+      out.writeBoolean(hasPending);
+      out.writeInt(preparedMembers.size());
+      for (String member : preparedMembers) {
         out.writeUTF(member);
       }
-      out.writeInt(rest.length);
-      out.write(rest);
+      out.writeInt(versionsSnapshot.length);
+      out.write(versionsSnapshot);
     });
   }
 
-  /** Goes on from this snapshot in place of what it held. */
+  /** Replaces the state by a snapshot. */
   public void install(byte[] snapshot) {
     Bytes.read(snapshot, in -> {
-      inForce = in.readLong();
-      document = Bytes.text(in);
-      pending = in.readBoolean();
-      prepared.clear();
-      for (int left = in.readInt(); left > 0; left--) {
-        prepared.add(in.readUTF());
+      inForceVersion = in.readLong();
+      inForceDocument = Bytes.text(in);
+      hasPending = in.readBoolean();
+      preparedMembers.clear();
+      for (int remaining = in.readInt(); remaining > 0; remaining--) {
+        preparedMembers.add(in.readUTF());
       }
-      byte[] rest = new byte[in.readInt()];
-      in.readFully(rest);
-      sequence.install(rest);
+      byte[] versionsSnapshot = new byte[in.readInt()];
+      in.readFully(versionsSnapshot);
+      versions.install(versionsSnapshot);
       return null;
     });
   }
--- a/proxy/src/main/java/amberhoist/rollout/Sequence.java
+++ b/proxy/src/main/java/amberhoist/rollout/Sequence.java
@@ -4,28 +4,32 @@
 import java.util.Map;
 
 /**
- * The changes of policy, one after the other: what the group's log leads to at every member alike. Each names the
- * version that it was made from, and takes hold only where that is still the latest.
+ * The versions of the policy, numbered by the accepted changes in the order of the group's log. Each change names the
+ * version that it is based on, and is accepted only where that is still the latest.
  */
 public class Sequence {
-  private static final int KEPT = 1024; // answers: an older change sent again was made from a version long passed
+  private static final int MAX_RESULTS = 1024; // older changes, sent again, are based on past versions: rejected
 
   /**
-   * A change.
+   * A proposed change of the policy.
    *
-   * @param id the operator's, the same when it is sent again
-   * @param base the version that it was made from
-   * @param document the policy from then on, as a whole
+   * @param id chosen by the operator, and the same when the change is sent again
+   * @param base the version that the change is based on
+   * @param document the whole document of the new version
    */
   public record Change(String id, long base, String document) {
-    /** Refuses a change that nobody could ask after. */
+    /**
+     * Checks the components.
+     *
+     * @throws IllegalArgumentException for an empty id, no document or a negative base
+     */
     public Change {
       if (id == null || id.isEmpty() || document == null || base < 0) {
         throw new IllegalArgumentException("a change needs an id, a document and a base that is not negative");
       }
     }
 
-    /** The change as the log's command. */
+    /** Encodes the change for a command. */
     public byte[] bytes() {
       return Bytes.write(out -> {
         out.writeUTF(id);
@@ -34,68 +38,68 @@
       });
     }
 
-    /** The change of a log's command. */
+    /** Decodes a change. */
     public static Change of(byte[] command) {
       return Bytes.read(command, in -> new Change(in.readUTF(), in.readLong(), Bytes.text(in)));
     }
   }
 
   /**
-   * What became of a change.
+   * The result of a change.
    *
-   * @param taken whether it took hold
-   * @param version the version that it became, or the one against which it lost
+   * @param taken whether it was accepted
+   * @param version the version that it created, or where it was rejected the latest one at that time
    */
   public record Verdict(boolean taken, long version) {}
 
-  private final Map<String, Verdict> verdicts = new LinkedHashMap<>() {
+  private final Map<String, Verdict> results = new LinkedHashMap<>() {
     private static final long serialVersionUID = 1;
 
     @Override
     protected boolean removeEldestEntry(Map.Entry<String, Verdict> eldest) {
-      return size() > KEPT;
+      return size() > MAX_RESULTS;
     }
   };
   private long version;
   private String document = "";
 
   /**
-   * Takes the next change of the log. One sent again gets the answer of the first time.
+   * Applies the next change of the log. A change sent again gets the result of the first time.
    *
-   * @param welcome whether a new one may take hold now; otherwise it loses whatever it was made from
+   * @param acceptsNew whether a new change may be accepted now; otherwise it is rejected whatever it is based on
    */
-  public Verdict take(Change change, boolean welcome) {
-    Verdict before = verdicts.get(change.id());
-    if (before != null) {
-      return before;
+  public Verdict take(Change change, boolean acceptsNew) {
+    Verdict earlierResult = results.get(change.id());
+    if (earlierResult != null) {
+      return earlierResult;
     }
-    boolean taken = welcome && change.base() == version;
-    if (taken) {
+    boolean accepted = acceptsNew && change.base() == version;
+    if (accepted) {
       version++;
       document = change.document();
     }
-    Verdict verdict = new Verdict(taken, version);
-    verdicts.put(change.id(), verdict);
-    return verdict;
+    Verdict result = new Verdict(accepted, version);
+    results.put(change.id(), result);
+    return result;
   }
 
-  /** The latest version, 0 before the first change. */
+  /** Returns the latest version, 0 before the first change. */
   public long version() {
     return version;
   }
 
-  /** Its document. */
+  /** Returns the document of the latest version. */
   public String document() {
     return document;
   }
 
-  /** All of it, for a member that has been away for long. */
+  /** Encodes the whole state, for a member that lacks entries which are no longer in the log. */
   public byte[] snapshot() {
     return Bytes.write(out -> {
       out.writeLong(version);
       Bytes.text(out, document);
-      out.writeInt(verdicts.size());
-      for (Map.Entry<String, Verdict> each : verdicts.entrySet()) {
+      out.writeInt(results.size());
+      for (Map.Entry<String, Verdict> each : results.entrySet()) {
         out.writeUTF(each.getKey());
         out.writeBoolean(each.getValue().taken());
         out.writeLong(each.getValue().version());
@@ -103,14 +107,14 @@
     });
   }
 
-  /** Goes on from this snapshot in place of what it held. */
+  /** Replaces the state by a snapshot. */
   public void install(byte[] snapshot) {
     Bytes.read(snapshot, in -> {
       version = in.readLong();
       document = Bytes.text(in);
-      verdicts.clear();
-      for (int left = in.readInt(); left > 0; left--) {
-        verdicts.put(in.readUTF(), new Verdict(in.readBoolean(), in.readLong()));
+      results.clear();
+      for (int remaining = in.readInt(); remaining > 0; remaining--) {
+        results.put(in.readUTF(), new Verdict(in.readBoolean(), in.readLong()));
       }
       return null;
     });
