--- a/proxy/src/main/java/amberhoist/distribution/Backoff.java
+++ b/proxy/src/main/java/amberhoist/distribution/Backoff.java
@@ -2,38 +2,39 @@
 
 import java.util.random.RandomGenerator;
 
-/** The wait before the next try: doubled with each failure, with jitter, and never more tries than a budget allows. */
+/** Exponential backoff with jitter, and with a retry budget that bounds the rate of attempts. */
 final class Backoff {
   private static final double RETRIES_PER_SECOND = 0.5;
-  private static final double RETRIES_AT_ONCE = 6;
-  private static final int MOST_DOUBLINGS = 16;
+  private static final double RETRY_BURST = 6;
+  private static final int MAX_DOUBLINGS = 16;
 
-  private final long first;
-  private final long most;
+  private final long initialMicros;
+  private final long maxMicros;
   private final RandomGenerator random;
   private final TokenBucket budget;
   private int failures;
 
-  Backoff(long now, long first, long most, RandomGenerator random) {
-    this.first = first;
-    this.most = most;
+  Backoff(long now, long initialMicros, long maxMicros, RandomGenerator random) {
+    this.initialMicros = initialMicros;
+    this.maxMicros = maxMicros;
     this.random = random;
-    budget = new TokenBucket(now, RETRIES_PER_SECOND, RETRIES_AT_ONCE);
+    budget = new TokenBucket(now, RETRIES_PER_SECOND, RETRY_BURST);
   }
 
+  /** An attempt succeeded: the delay starts from the first one again. */
   void succeeded() {
     failures = 0;
   }
 
-  /** The wait after one more failure, in micros. */
+  /** An attempt failed: returns the delay before the next one, in microseconds. */
   long failed(long now) {
-    long wait = Math.min(most, first << Math.min(failures, MOST_DOUBLINGS));
+    long delay = Math.min(maxMicros, initialMicros << Math.min(failures, MAX_DOUBLINGS));
     failures++;
     budget.spend(now, 1);
-    return Math.max(jitter(wait), budget.microsUntil(now, 0));
+    return Math.max(jitter(delay), budget.microsUntil(now, 0));
   }
 
-  /** From half of this time to one and a half of it, at random. */
+  /** Returns a random duration between 0.5 and 1.5 times the given one. */
   long jitter(long micros) {
     return (long) (micros * (0.5 + random.nextDouble()));
   }
--- a/proxy/src/main/java/amberhoist/distribution/Distributor.java
+++ b/proxy/src/main/java/amberhoist/distribution/Distributor.java
@@ -17,32 +17,32 @@
 import java.util.function.BiConsumer;
 
 /**
- * Serves the policy to subscribers: documents in chunks, and leases out of the one that it holds from the leader. It
- * reports a pending version as prepared once each of its subscribers has prepared it or can hold no lease any more.
- * Nothing is queued for a subscriber: each chunk is asked for.
+ * Serves the policy to subscribers: documents in chunks, and leases that end before the distributor's own lease from
+ * the leader. It reports a pending version as prepared once each of its subscribers has prepared it or can no longer
+ * hold a lease. Nothing is queued for a subscriber: each chunk is requested.
  */
 public class Distributor {
-  private static final int LONGEST_NAME = 128;
-  private static final int SILENT_RENEWALS = 4; // after so many without a word a subscriber is forgotten
+  private static final int MAX_NAME_LENGTH = 128;
+  private static final int MAX_MISSED_RENEWALS = 4; // then the session is removed
 
-  /** A subscriber that has been admitted. */
+  /** The session of an admitted subscriber. */
   protected static final class Session {
     private final long incarnation;
-    private final TokenBucket bytes;
-    private long held;
-    private long prepared;
-    private long leaseUntil = Long.MIN_VALUE; // as long as it may hold one, by this distributor's clock
+    private final TokenBucket byteBudget;
+    private long heldVersion;
+    private long preparedVersion;
+    private long leaseUntil = Long.MIN_VALUE; // until when it may hold a lease, by this distributor's clock
     private long lastHeardAt;
-    private long offered; // latest version whose first chunk was sent
+    private long offeredVersion; // version whose first chunk was sent last
 
-    Session(long incarnation, TokenBucket bytes) {
+    Session(long incarnation, TokenBucket byteBudget) {
       this.incarnation = incarnation;
-      this.bytes = bytes;
+      this.byteBudget = byteBudget;
     }
   }
 
   private final DistributionSettings settings;
-  private final BiConsumer<String, Reply> link;
+  private final BiConsumer<String, Reply> sender;
   private final Map<String, Session> sessions = new HashMap<>();
   private final Transfers transfers = new Transfers();
   private final Admission admission;
@@ -52,37 +52,41 @@
   private long leaseUntil = Long.MIN_VALUE;
   private boolean hadLease;
   private long pendingSince;
-  private boolean sealed; // the pending version counts as reported: none is granted on the version before
-  private long formerUntil = Long.MIN_VALUE; // as long as sessions that were replaced may hold leases
+  private boolean leasesStopped; // the pending version may be reported as prepared: no lease on the version before
+  private long formerLeasesUntil = Long.MIN_VALUE; // until when replaced sessions may hold leases
 
-  /** A distributor that starts now and answers over this link, by the subscriber's name. */
-  public Distributor(DistributionSettings settings, long now, BiConsumer<String, Reply> link) {
+  /**
+   * Creates a distributor that starts now.
+   *
+   * @param sender sends a reply to the subscriber of this name
+   */
+  public Distributor(DistributionSettings settings, long now, BiConsumer<String, Reply> sender) {
     this.settings = settings;
-    this.link = link;
+    this.sender = sender;
     admission = new Admission(now, settings.admissionsPerSecond());
     startedAt = now;
   }
 
-  /** What is known of the policy, after each step of the group's log; before the lease that requires it. */
-  public void policy(long now, PolicyState next) {
-    boolean begins = next.pending() != null && !state.isPending(next.latest());
-    boolean ends = state.pending() != null && !next.isPending(state.latest());
-    state = next;
-    transfers.keep(next.inForce());
-    if (begins) {
+  /** Updates the policy after each step of the replicated log, before a lease that requires it is passed in. */
+  public void policy(long now, PolicyState newState) {
+    boolean changeBegins = newState.pending() != null && !state.isPending(newState.latest());
+    boolean changeEnds = state.pending() != null && !newState.isPending(state.latest());
+    state = newState;
+    transfers.keep(newState.inForce());
+    if (changeBegins) {
       pendingSince = now;
-      sealed = !hadLease; // an earlier life of this distributor may have reported it
+      leasesStopped = !hadLease; // this distributor may have reported it before a restart
     }
-    if (begins || ends) {
-      sessions.forEach((name, session) -> tell(name, session, ends));
+    if (changeBegins || changeEnds) {
+      sessions.forEach((name, session) -> notifySubscriber(name, session, changeEnds));
     }
   }
 
-  private void tell(String name, Session session, boolean concluded) {
+  private void notifySubscriber(String name, Session session, boolean concluded) {
     if (concluded) {
-      link.accept(name, status());
+      sender.accept(name, status());
     }
-    if (state.pending() != null && session.prepared != state.latest()) {
+    if (state.pending() != null && session.preparedVersion != state.latest()) {
       offer(name, session, state.pending(), true);
     }
   }
@@ -91,29 +95,34 @@
     return new Status(state.inForce().version(), state.latest(), state.pending() != null);
   }
 
-  /** The lease from the leader holds until then, and what it requires of the log is known. */
+  /** The leader's lease is valid until then; the log that it requires has been passed to {@link #policy}. */
   public void lease(long until) {
     leaseUntil = Math.max(leaseUntil, until);
     hadLease = true;
   }
 
-  /** A subscriber has sent this; {@code name} is the peer's, as its connection was established. */
+  /**
+   * Handles a request of a subscriber.
+   *
+   * @param name the name under which the subscriber's connection was established
+   */
   public void receive(long now, String name, Request request) {
     if (request instanceof Renew renew) {
       renew(now, name, renew);
     } else if (request instanceof Fetch fetch) {
       fetch(now, name, fetch);
     } else if (request instanceof Prepared prepared) {
-      Session session = session(now, name, prepared.incarnation());
+      Session session = touchSession(now, name, prepared.incarnation());
       if (session != null && state.isPending(prepared.version())) {
-        session.prepared = prepared.version();
+        session.preparedVersion = prepared.version();
       }
-    } else if (request instanceof Leave leave && session(now, name, leave.incarnation()) != null) {
+    } else if (request instanceof Leave leave && touchSession(now, name, leave.incarnation()) != null) {
       sessions.remove(name);
     }
   }
 
-  private Session session(long now, String name, long incarnation) {
+  /** Returns the session of this incarnation, and marks it as heard from; null if there is none. */
+  private Session touchSession(long now, String name, long incarnation) {
     Session session = sessions.get(name);
     if (session == null || session.incarnation != incarnation) {
       return null;
@@ -123,41 +132,42 @@
   }
 
   private void renew(long now, String name, Renew renew) {
-    if (!settings.fleet().equals(renew.fleet()) || !name.equals(renew.subscriber()) || name.length() > LONGEST_NAME) {
+    if (!settings.fleet().equals(renew.fleet()) || !name.equals(renew.subscriber())
+        || name.length() > MAX_NAME_LENGTH) {
       counters.rejected++;
-      link.accept(name, new Rejected("not of this fleet"));
+      sender.accept(name, new Rejected("not of this fleet"));
       return;
     }
     if (!leased(now)) {
-      link.accept(name, new Deferred(settings.renewEvery(), true));
+      sender.accept(name, new Deferred(settings.renewEvery(), true));
       return;
     }
-    Session session = admitted(now, name, renew.incarnation());
+    Session session = findOrAdmit(now, name, renew.incarnation());
     if (session != null) {
-      session.held = renew.held();
-      session.prepared = state.isPending(renew.prepared()) ? renew.prepared() : session.prepared;
-      answer(now, name, session, renew);
+      session.heldVersion = renew.held();
+      session.preparedVersion = state.isPending(renew.prepared()) ? renew.prepared() : session.preparedVersion;
+      replyToRenewal(now, name, session, renew);
     }
   }
 
-  /** The session of this incarnation, a new one where one more is admitted now, or null. */
-  private Session admitted(long now, String name, long incarnation) {
-    Session known = session(now, name, incarnation);
-    if (known != null) {
-      return known;
+  /** Returns the session of this incarnation, a new one if it can be admitted now, otherwise null. */
+  private Session findOrAdmit(long now, String name, long incarnation) {
+    Session existing = touchSession(now, name, incarnation);
+    if (existing != null) {
+      return existing;
     }
     Session former = sessions.get(name);
     if (former == null && sessions.size() >= settings.mostSubscribers()) {
-      link.accept(name, new Deferred(settings.backoffMost(), true));
+      sender.accept(name, new Deferred(settings.backoffMost(), true));
       return null;
     }
     if (!admits(now)) {
       counters.deferred++;
-      link.accept(name, new Deferred(admission.after(now), false));
+      sender.accept(name, new Deferred(admission.after(now), false));
       return null;
     }
-    if (former != null && !state.isPending(former.prepared)) {
-      formerUntil = Math.max(formerUntil, former.leaseUntil);
+    if (former != null && !state.isPending(former.preparedVersion)) {
+      formerLeasesUntil = Math.max(formerLeasesUntil, former.leaseUntil);
     }
     counters.admitted++;
     int burst = Math.max(2 * settings.chunk(), settings.bytesPerSecond());
@@ -167,18 +177,18 @@
     return session;
   }
 
-  private void answer(long now, String name, Session session, Renew renew) {
+  private void replyToRenewal(long now, String name, Session session, Renew renew) {
     if (ahead(renew)) {
-      link.accept(name, new Deferred(settings.renewEvery(), true));
+      sender.accept(name, new Deferred(settings.renewEvery(), true));
       return;
     }
     if (renew.prepared() != 0) {
-      link.accept(name, status()); // also while it is pending: a subscriber with no answer goes elsewhere
+      sender.accept(name, status()); // even while it is pending: without a reply the subscriber changes the distributor
     }
     boolean current = renew.held() == state.inForce().version();
     if (!current) {
       offer(name, session, state.inForce(), false);
-    } else if (state.pending() != null && session.prepared != state.latest()) {
+    } else if (state.pending() != null && session.preparedVersion != state.latest()) {
       offer(name, session, state.pending(), true);
     }
     if (current && renew.prepared() == 0 && grants(now, session)) {
@@ -186,35 +196,35 @@
     }
   }
 
-  /** Whether the subscriber knows more than this distributor. */
+  /** Whether the subscriber has seen a later version than this distributor. */
   protected boolean ahead(Renew renew) {
     return renew.held() > state.inForce().version() || renew.prepared() > state.latest();
   }
 
   private void offer(String name, Session session, Document document, boolean pending) {
-    int first = session.offered == document.version() ? 0 : settings.chunk();
-    session.offered = document.version();
-    link.accept(name, transfer(document, session.held).offer(pending, first));
+    int first = session.offeredVersion == document.version() ? 0 : settings.chunk();
+    session.offeredVersion = document.version();
+    sender.accept(name, transfer(document, session.heldVersion).offer(pending, first));
   }
 
-  /** The transfer by which who holds this version gets to the document. */
+  /** Returns the transfer to the target document for a subscriber that has the other version. */
   protected Transfer transfer(Document target, long held) {
     return transfers.to(target, held);
   }
 
   private void grant(long now, String name, Session session, long askedAt) {
-    long length = leaseFor(now);
-    session.leaseUntil = Math.max(session.leaseUntil, now + (long) (length * (1 + DistributionSettings.DRIFT)));
+    long durationMicros = leaseFor(now);
+    session.leaseUntil = Math.max(session.leaseUntil, now + (long) (durationMicros * (1 + DistributionSettings.DRIFT)));
     counters.granted++;
-    link.accept(name, new Granted(askedAt, state.inForce().version(), length));
+    sender.accept(name, new Granted(askedAt, state.inForce().version(), durationMicros));
   }
 
-  /** How long a lease granted now lasts: it ends before the distributor's own. */
+  /** Returns the duration of a lease granted now, in microseconds: it ends no later than the distributor's own. */
   protected long leaseFor(long now) {
     return Math.min(settings.lease(), leaseUntil - now);
   }
 
-  /** Whether the distributor itself holds a lease. */
+  /** Whether this distributor has a lease from the leader. */
   protected boolean leased(long now) {
     return now < leaseUntil;
   }
@@ -224,14 +234,14 @@
     return admission.admits(now);
   }
 
-  /** Whether this subscriber, which holds the version in force, may go on by it. */
+  /** Whether this subscriber, which has the version in force, may get a lease on it. */
   protected boolean grants(long now, Session session) {
     return state.pending() == null
-        || !sealed && session.prepared != state.latest() && now < pendingSince + settings.stage();
+        || !leasesStopped && session.preparedVersion != state.latest() && now < pendingSince + settings.stage();
   }
 
   private void fetch(long now, String name, Fetch fetch) {
-    Session session = session(now, name, fetch.incarnation());
+    Session session = touchSession(now, name, fetch.incarnation());
     boolean pending = state.isPending(fetch.version());
     if (session == null || !pending && fetch.version() != state.inForce().version()) {
       return;
@@ -242,42 +252,45 @@
     }
     int end = Math.min(transfer.body().length, fetch.offset() + settings.chunk());
     byte[] bytes = Arrays.copyOfRange(transfer.body(), fetch.offset(), end);
-    if (session.bytes.take(now, bytes.length)) { // a subscriber over its budget asks again
-      link.accept(name, new Chunk(fetch.version(), fetch.base(), fetch.offset(), bytes));
+    if (session.byteBudget.take(now, bytes.length)) { // above the rate limit there is no reply; the subscriber retries
+      sender.accept(name, new Chunk(fetch.version(), fetch.base(), fetch.offset(), bytes));
     }
   }
 
-  /** Whether the pending version is to be reported as prepared by all of this distributor's subscribers. */
+  /**
+   * Whether the pending version can be reported as prepared for all subscribers of this distributor. Once it can, no
+   * lease is granted on the version before.
+   */
   public boolean prepared(long now) {
-    if (state.pending() == null || now <= startedAt + longestLease()) {
-      return false; // leases of an earlier life may still be held
+    if (state.pending() == null || now <= startedAt + maxLeaseMicros()) {
+      return false; // leases granted before a restart may still be valid
     }
-    sealed |= allPrepared(now);
-    return sealed;
+    leasesStopped |= allPrepared(now);
+    return leasesStopped;
   }
 
-  private long longestLease() {
+  private long maxLeaseMicros() {
     return (long) (settings.lease() * (1 + DistributionSettings.DRIFT));
   }
 
   /** Whether no subscriber can hold a lease on the version before the pending one. */
   protected boolean allPrepared(long now) {
-    return now > formerUntil && sessions.values().stream()
-        .allMatch(session -> session.prepared == state.latest() || now > session.leaseUntil);
+    return now > formerLeasesUntil && sessions.values().stream()
+        .allMatch(session -> session.preparedVersion == state.latest() || now > session.leaseUntil);
   }
 
-  /** Forgets subscribers that have been silent and hold no lease; to be called about once a second. */
+  /** Removes sessions that are silent and without a lease; to be called about once a second. */
   public void expire(long now) {
-    long silent = SILENT_RENEWALS * settings.renewEvery();
-    sessions.values().removeIf(session -> now > session.leaseUntil && now - session.lastHeardAt > silent);
+    long timeout = MAX_MISSED_RENEWALS * settings.renewEvery();
+    sessions.values().removeIf(session -> now > session.leaseUntil && now - session.lastHeardAt > timeout);
   }
 
-  /** The number of subscribers. */
+  /** Returns the number of subscribers. */
   public int subscribers() {
     return sessions.size();
   }
 
-  /** What it has done so far. */
+  /** Returns the counters. */
   public DistributorCounters counters() {
     return counters;
   }
--- a/proxy/src/main/java/amberhoist/distribution/DistributorCounters.java
+++ b/proxy/src/main/java/amberhoist/distribution/DistributorCounters.java
@@ -1,28 +1,28 @@
 package amberhoist.distribution;
 
-/** What a distributor has done since its start. */
+/** Counters of a distributor since its start. */
 public final class DistributorCounters {
   long admitted;
   long deferred;
   long rejected;
   long granted;
 
-  /** Subscribers admitted. */
+  /** Returns the number of subscribers admitted. */
   public long admitted() {
     return admitted;
   }
 
-  /** Subscribers told to come again, for more came at once than are admitted. */
+  /** Returns the number of admissions deferred because of the rate limit. */
   public long deferred() {
     return deferred;
   }
 
-  /** Callers of another fleet, or under another name than their connection's. */
+  /** Returns the number of requests rejected for their fleet or subscriber name. */
   public long rejected() {
     return rejected;
   }
 
-  /** Leases granted. */
+  /** Returns the number of leases granted. */
   public long granted() {
     return granted;
   }
--- a/proxy/src/main/java/amberhoist/distribution/DistributorOrder.java
+++ b/proxy/src/main/java/amberhoist/distribution/DistributorOrder.java
@@ -5,17 +5,21 @@
 import java.util.List;
 
 /**
- * The order in which a subscriber asks distributors: those of its own region first, then those of the other regions in
- * the order in which its region lists its neighbours; within a region by rendezvous hashing. Each subscriber can work
- * it out alone, a lost distributor's subscribers spread over all that are left, and the others' stay where they are.
+ * The order in which a subscriber tries distributors: those of its own region first, then those of the other regions
+ * in the order in which its region lists them; within a region by rendezvous hashing. Each subscriber computes it
+ * alone. The subscribers of a failed distributor spread over all the others, whose own subscribers stay.
  */
 public final class DistributorOrder {
-  /** A distributor and the region that it is in. */
+  /** A distributor and its region. */
   public record Location(String distributor, String region) {}
 
   private DistributorOrder() {}
 
-  /** The distributors for this subscriber, preferred ones first; {@code regions} are its own and then others. */
+  /**
+   * Returns the distributors for this subscriber, the preferred one first.
+   *
+   * @param regions the subscriber's region, then the others by preference; those not listed come last
+   */
   public static List<String> of(String subscriber, List<String> regions, List<Location> distributors) {
     List<Location> order = new ArrayList<>(distributors);
     order.sort(Comparator.comparingInt((Location each) -> rank(regions, each.region()))
@@ -29,11 +33,11 @@
     return rank < 0 ? regions.size() : rank;
   }
 
-  /** A hash of both names that is the same everywhere. */
+  /** Returns a hash of both names, the same in every process. */
   private static long score(String subscriber, String distributor) {
-    long mixed = subscriber.hashCode() * 0x9E3779B97F4A7C15L + distributor.hashCode() * 0xC2B2AE3D27D4EB4FL;
-    mixed = (mixed ^ mixed >>> 30) * 0xBF58476D1CE4E5B9L;
-    mixed = (mixed ^ mixed >>> 27) * 0x94D049BB133111EBL;
-    return mixed ^ mixed >>> 31;
+    long hash = subscriber.hashCode() * 0x9E3779B97F4A7C15L + distributor.hashCode() * 0xC2B2AE3D27D4EB4FL;
+    hash = (hash ^ hash >>> 30) * 0xBF58476D1CE4E5B9L;
+    hash = (hash ^ hash >>> 27) * 0x94D049BB133111EBL;
+    return hash ^ hash >>> 31;
   }
 }
--- a/proxy/src/main/java/amberhoist/distribution/Download.java
+++ b/proxy/src/main/java/amberhoist/distribution/Download.java
@@ -4,50 +4,50 @@
 import amberhoist.distribution.Message.Offer;
 import java.util.Arrays;
 
-/** A transfer of which some bytes have come; it goes on at any distributor that offers the same one. */
+/** A transfer received in part. It can be resumed from any distributor that offers the same transfer. */
 final class Download {
   private final byte[] body;
   private Offer offer;
-  private int received;
+  private int receivedBytes;
 
-  /** A download of what was offered; its length has been checked. */
+  /** Starts a download of this offer, whose length must have been checked. */
   Download(Offer offer) {
     this.offer = offer;
     body = new byte[offer.length()];
     take(0, offer.first());
   }
 
-  /** Whether this offer describes the same bytes. */
+  /** Whether this offer describes the same transfer. */
   boolean continues(Offer next) {
     return next.version() == offer.version() && next.base() == offer.base() && next.checksum() == offer.checksum()
         && next.length() == offer.length() && next.from() == offer.from() && next.removed() == offer.removed();
   }
 
-  /** Goes on by this offer, which {@link #continues} it: the version may have come in force meanwhile. */
+  /** Takes over an offer of the same transfer; the version may have come into force since the first one. */
   void renew(Offer next) {
     offer = next;
   }
 
-  /** Takes a chunk that continues what has come; others are left out. Whether it did. */
+  /** Appends a chunk that follows the bytes received; ignores any other and returns false. */
   boolean take(Chunk chunk) {
     return chunk.version() == offer.version() && chunk.base() == offer.base() && take(chunk.offset(), chunk.bytes());
   }
 
   private boolean take(int offset, byte[] bytes) {
-    if (offset != received || bytes.length > body.length - received) {
+    if (offset != receivedBytes || bytes.length > body.length - receivedBytes) {
       return false;
     }
-    System.arraycopy(bytes, 0, body, received, bytes.length);
-    received += bytes.length;
+    System.arraycopy(bytes, 0, body, receivedBytes, bytes.length);
+    receivedBytes += bytes.length;
     return true;
   }
 
   boolean complete() {
-    return received == body.length;
+    return receivedBytes == body.length;
   }
 
   int received() {
-    return received;
+    return receivedBytes;
   }
 
   Offer offer() {
@@ -55,6 +55,6 @@
   }
 
   Transfer transfer() {
-    return Transfer.of(offer, Arrays.copyOf(body, received));
+    return Transfer.of(offer, Arrays.copyOf(body, receivedBytes));
   }
 }
--- a/proxy/src/main/java/amberhoist/distribution/PolicyState.java
+++ b/proxy/src/main/java/amberhoist/distribution/PolicyState.java
@@ -3,17 +3,17 @@
 import amberhoist.rollout.Rollout;
 
 /**
- * What a distributor knows of the fleet's policy.
+ * The state of the fleet's policy, as far as a controller knows it.
  *
  * @param inForce the document in force
- * @param latest the latest version, in force, pending or withdrawn
- * @param pending the document that is pending, or null
+ * @param latest the latest version, be it in force, pending or withdrawn
+ * @param pending the pending document, or null
  */
 public record PolicyState(Document inForce, long latest, Document pending) {
-  /** Before the first change. */
+  /** The state before the first change. */
   public static final PolicyState EMPTY = new PolicyState(Document.NONE, 0, null);
 
-  /** What the group's log has led to. */
+  /** Returns the state that the replicated log has reached. */
   public static PolicyState of(Rollout rollout) {
     Document pending = rollout.pending() ? Document.of(rollout.latest(), rollout.latestDocument()) : null;
     return new PolicyState(Document.of(rollout.inForce(), rollout.document()), rollout.latest(), pending);
--- a/proxy/src/main/java/amberhoist/distribution/Subscriber.java
+++ b/proxy/src/main/java/amberhoist/distribution/Subscriber.java
@@ -18,108 +18,108 @@
 import java.util.zip.DataFormatException;
 
 /**
- * A proxy's part in the fleet's policy: holds the document in force and a lease on it, from one distributor at a time.
- * It decides by its document only while it holds a lease and has prepared no newer version, and its version never goes
- * back, whichever distributor it meets.
+ * A proxy's copy of the fleet's policy: the document in force and a lease on it, from one distributor at a time. The
+ * document may be used only while the lease is valid and no newer version is prepared. The version never decreases,
+ * whichever distributor the subscriber changes to.
  */
 public class Subscriber {
-  private static final int MISSED_RENEWALS = 2; // in a row without an answer, then the next distributor is asked
-  private static final int OVERHEAD = 64; // bytes of a message beside its chunk
+  private static final int MAX_MISSED_RENEWALS = 2; // in a row; then it changes to the next distributor
+  private static final int MESSAGE_OVERHEAD_BYTES = 64; // of a message with a chunk
   private static final long NEVER = Long.MIN_VALUE;
 
   private final DistributionSettings settings;
   private final String name;
   private final long incarnation;
   private final List<String> distributors;
-  private final BiConsumer<String, Request> link;
+  private final BiConsumer<String, Request> sender;
   private final Backoff backoff;
   private final TokenBucket budget;
-  private int target; // index of the distributor that is asked
-  private boolean answered; // by the target, since it was chosen
-  private String former; // distributor before, that may count a lease of this subscriber still, or null
-  private int missed;
+  private int targetIndex; // index of the current distributor
+  private boolean hasTargetAnswered; // by the current distributor
+  private String formerDistributor; // the distributor before, which may still count a lease of this subscriber; or null
+  private int missedRenewals;
   private long renewAt;
   private long returnAt;
-  private Document held = Document.NONE;
-  private Document staged; // the prepared document
+  private Document inForce = Document.NONE;
+  private Document preparedDocument; // the prepared document, or null
   private long leaseUntil = NEVER;
-  private long askedSince = NEVER; // grants for what was asked earlier are void
+  private long grantsValidFrom = NEVER; // grants for earlier requests are ignored
   private Download download;
   private long fetchAt = Long.MAX_VALUE;
   private boolean needsSnapshot;
-  private long corrupt;
-  private long moves;
+  private long corruptTransfers;
+  private long distributorChanges;
 
   /**
-   * A subscriber that starts now.
+   * Creates a subscriber that starts now.
    *
-   * @param distributors in the order of {@link DistributorOrder}
-   * @param link sends a request to a distributor
+   * @param distributors names of the distributors, in the order of {@link DistributorOrder}
+   * @param sender sends a request to the distributor of this name
    */
   public Subscriber(DistributionSettings settings, String name, long incarnation, List<String> distributors,
-      RandomGenerator random, long now, BiConsumer<String, Request> link) {
+      RandomGenerator random, long now, BiConsumer<String, Request> sender) {
     this.settings = settings;
     this.name = name;
     this.incarnation = incarnation;
     this.distributors = List.copyOf(distributors);
-    this.link = link;
+    this.sender = sender;
     backoff = new Backoff(now, settings.backoffFirst(), settings.backoffMost(), random);
     budget = new TokenBucket(now, settings.bytesPerSecond(), Math.max(2 * settings.chunk(), settings.bytesPerSecond()));
     renewAt = now + (long) (settings.renewEvery() * random.nextDouble());
     returnAt = now + backoff.jitter(settings.returnEvery());
   }
 
-  /** The version to decide by now, or -1: without a lease, or with a change pending, nothing new is decided. */
+  /** Returns the policy version that decisions may use now, or -1 without a lease or with a change pending. */
   public long decides(long now) {
-    return staged == null && now < leaseUntil ? held.version() : -1;
+    return preparedDocument == null && now < leaseUntil ? inForce.version() : -1;
   }
 
-  /** The document in force, as far as this subscriber knows. */
+  /** Returns the document in force, as far as this subscriber knows. */
   public Document held() {
-    return held;
+    return inForce;
   }
 
-  /** Micros that are left of the lease, 0 where there is none. */
+  /** Returns the remaining time of the lease in microseconds, 0 where there is none. */
   public long leaseLeft(long now) {
     return leaseUntil == NEVER ? 0 : Math.max(0, leaseUntil - now);
   }
 
-  /** The distributor that is asked. */
+  /** Returns the name of the current distributor. */
   public String distributor() {
-    return distributors.get(target);
+    return distributors.get(targetIndex);
   }
 
-  /** Transfers that did not have the checksum that was offered. */
+  /** Returns the number of transfers that were invalid or did not match the checksum of their offer. */
   public long corrupt() {
-    return corrupt;
+    return corruptTransfers;
   }
 
-  /** How often it has gone to another distributor. */
+  /** Returns the number of changes to another distributor. */
   public long moves() {
-    return moves;
+    return distributorChanges;
   }
 
-  /** When {@link #step} is to be called next. */
+  /** Returns when {@link #step} is to be called next. */
   public long nextStep() {
     return Math.min(renewAt, fetchAt);
   }
 
-  /** Does what is due. */
+  /** Sends the requests that are due. */
   public void step(long now) {
     if (now >= renewAt) {
-      if (missed >= MISSED_RENEWALS) {
-        moveOn(now, 0);
+      if (missedRenewals >= MAX_MISSED_RENEWALS) {
+        changeToNext(now, 0);
       } else {
-        missed++;
+        missedRenewals++;
         renew(now, distributor());
       }
     }
     if (now >= fetchAt) {
-      fetch(now);
+      fetchNextChunk(now);
     }
-    if (target != 0 && now >= returnAt) {
+    if (targetIndex != 0 && now >= returnAt) {
       returnAt = now + backoff.jitter(settings.returnEvery());
-      send(distributors.get(0), renewal(now)); // an answer brings the subscriber back there
+      send(distributors.get(0), renewal(now)); // on a reply the subscriber changes back to it
     }
   }
 
@@ -129,108 +129,112 @@
   }
 
   private Renew renewal(long now) {
-    long version = needsSnapshot ? 0 : held.version();
-    return new Renew(settings.fleet(), name, incarnation, now, version, staged == null ? 0 : staged.version());
+    long version = needsSnapshot ? 0 : inForce.version();
+    return new Renew(settings.fleet(), name, incarnation, now, version,
+        preparedDocument == null ? 0 : preparedDocument.version());
   }
 
   private void send(String distributor, Request request) {
-    link.accept(distributor, request);
+    sender.accept(distributor, request);
   }
 
-  /** Asks the next distributor, after a wait of at least this. */
-  private void moveOn(long now, long least) {
-    ask((target + 1) % distributors.size());
-    missed = 0;
-    answered = false;
+  /** Changes to the next distributor, and asks it after the backoff or {@code minDelay}, whichever is longer. */
+  private void changeToNext(long now, long minDelay) {
+    changeTo((targetIndex + 1) % distributors.size());
+    missedRenewals = 0;
+    hasTargetAnswered = false;
     fetchAt = Long.MAX_VALUE;
-    renewAt = now + Math.max(least, backoff.failed(now));
+    renewAt = now + Math.max(minDelay, backoff.failed(now));
   }
 
-  private void ask(int next) {
-    former = distributor();
-    target = next;
-    moves++;
+  private void changeTo(int next) {
+    formerDistributor = distributor();
+    targetIndex = next;
+    distributorChanges++;
   }
 
-  /** Tells the distributor before that its lease is not relied on any more, so that no change waits for its end. */
-  private void leaveFormer() {
-    if (former != null && !former.equals(distributor())) {
-      send(former, new Leave(name, incarnation));
+  /** Notifies the former distributor that its lease is no longer used, so that no change waits for the lease's end. */
+  private void releaseFormerLease() {
+    if (formerDistributor != null && !formerDistributor.equals(distributor())) {
+      send(formerDistributor, new Leave(name, incarnation));
     }
-    former = null;
+    formerDistributor = null;
   }
 
-  /** The connection to this distributor has ended. */
+  /** The connection to this distributor was closed. */
   public void disconnected(long now, String distributor) {
     if (distributor.equals(distributor())) {
-      moveOn(now, 0);
+      changeToNext(now, 0);
     }
   }
 
-  /** Ends in good order. */
+  /** Stops, and gives up the lease. */
   public void leave() {
     leaseUntil = NEVER;
     send(distributor(), new Leave(name, incarnation));
   }
 
-  /** A distributor has sent this, in so many bytes. */
+  /** Handles a reply of a distributor, and charges the length of its message to the byte budget. */
   public void receive(long now, String distributor, Reply reply, int bytes) {
-    boolean refused = reply instanceof Deferred || reply instanceof Rejected;
+    boolean isRejection = reply instanceof Deferred || reply instanceof Rejected;
     if (!distributor.equals(distributor())) {
-      if (refused || !distributor.equals(distributors.get(0)) || target == 0) {
-        return; // of a distributor that was left
+      if (isRejection || !distributor.equals(distributors.get(0)) || targetIndex == 0) {
+        return; // from a former distributor, or a rejection from the preferred one
       }
-      ask(0);
+      changeTo(0);
     }
     budget.spend(now, bytes);
-    missed = 0;
-    if (refused) {
-      refused(now, reply);
+    missedRenewals = 0;
+    if (isRejection) {
+      onRejection(now, reply);
       return;
     }
-    if (!answered) {
-      answered = true;
+    if (!hasTargetAnswered) {
+      hasTargetAnswered = true;
       backoff.succeeded();
     }
     if (reply instanceof Status status) {
-      status(now, status);
+      onStatus(now, status);
     } else if (reply instanceof Offer offer) {
-      offer(now, offer);
+      onOffer(now, offer);
     } else if (reply instanceof Chunk chunk) {
-      chunk(now, chunk);
+      onChunk(now, chunk);
     } else if (reply instanceof Granted granted) {
-      granted(now, granted);
+      onGranted(now, granted);
     }
   }
 
-  private void refused(long now, Reply reply) {
+  private void onRejection(long now, Reply reply) {
     if (reply instanceof Deferred deferred && !deferred.elsewhere()) {
       renewAt = now + Math.min(deferred.after(), 2 * settings.backoffMost());
     } else {
-      moveOn(now, reply instanceof Rejected ? settings.backoffMost() : 0);
+      changeToNext(now, reply instanceof Rejected ? settings.backoffMost() : 0);
     }
   }
 
-  private void granted(long now, Granted granted) {
-    boolean current = granted.askedAt() >= askedSince && granted.askedAt() <= now;
-    if (staged == null && current && granted.version() == held.version()) {
-      long length = Math.min(granted.length(), settings.lease());
-      long end = granted.askedAt() + (long) (length * (1 - DistributionSettings.DRIFT));
+  private void onGranted(long now, Granted granted) {
+    boolean isCurrent = granted.askedAt() >= grantsValidFrom && granted.askedAt() <= now;
+    if (preparedDocument == null && isCurrent && granted.version() == inForce.version()) {
+      long durationMicros = Math.min(granted.length(), settings.lease());
+      long end = granted.askedAt() + (long) (durationMicros * (1 - DistributionSettings.DRIFT));
       if (end >= leaseUntil) {
         leaseUntil = end;
-        leaveFormer();
+        releaseFormerLease();
       }
     }
   }
 
-  /** Guards against a distributor that is behind: what it has not heard of has not been withdrawn. */
-  private void status(long now, Status status) {
-    if (staged == null || status.latest() < staged.version()
-        || status.pending() && status.latest() == staged.version()) {
+  /**
+   * Concludes the prepared version by a status. A status that has not reached that version is ignored, since it comes
+   * from a distributor that is behind, and does not mean that the change was withdrawn.
+   */
+  private void onStatus(long now, Status status) {
+    if (preparedDocument == null || status.latest() < preparedDocument.version()
+        || status.pending() && status.latest() == preparedDocument.version()) {
       return;
     }
-    Document prepared = staged;
-    staged = null;
+    Document prepared = preparedDocument;
+    preparedDocument = null;
     if (status.inForce() == prepared.version()) {
       install(now, prepared);
     } else {
@@ -238,36 +242,36 @@
     }
   }
 
-  /** Whether this version goes on from what is held. */
+  /** Whether this version is later than the one in force here. */
   protected boolean advances(long version) {
-    return version > held.version();
+    return version > inForce.version();
   }
 
   private void install(long now, Document document) {
     if (!advances(document.version())) {
       return;
     }
-    held = document;
+    inForce = document;
     dropLease(now);
-    if (staged != null && staged.version() <= document.version()) {
-      staged = null;
+    if (preparedDocument != null && preparedDocument.version() <= document.version()) {
+      preparedDocument = null;
     }
     renew(now, distributor());
   }
 
-  /** Guards against a lease that was asked for before: it is on another version, or was counted as given up. */
+  /** Drops the lease, and ignores grants for earlier requests: they are on another version, or counted as given up. */
   private void dropLease(long now) {
     leaseUntil = NEVER;
-    askedSince = now;
+    grantsValidFrom = now;
   }
 
-  private void offer(long now, Offer offer) {
+  private void onOffer(long now, Offer offer) {
     if (!advances(offer.version()) || offer.length() < 0 || offer.length() > Transfer.LARGEST) {
       return;
     }
-    if (staged != null && offer.version() <= staged.version()) {
-      if (offer.version() == staged.version()) {
-        take(now, staged, offer.pending());
+    if (preparedDocument != null && offer.version() <= preparedDocument.version()) {
+      if (offer.version() == preparedDocument.version()) {
+        acceptDocument(now, preparedDocument, offer.pending());
       }
       return;
     }
@@ -276,44 +280,44 @@
     } else {
       download = new Download(offer);
     }
-    advance(now);
+    continueDownload(now);
   }
 
-  private void chunk(long now, Chunk chunk) {
+  private void onChunk(long now, Chunk chunk) {
     if (download != null && download.take(chunk)) {
-      advance(now);
+      continueDownload(now);
     }
   }
 
-  private void advance(long now) {
+  private void continueDownload(long now) {
     if (!download.complete()) {
-      fetchAt = now + budget.microsUntil(now, settings.chunk() + OVERHEAD);
+      fetchAt = now + budget.microsUntil(now, settings.chunk() + MESSAGE_OVERHEAD_BYTES);
       return;
     }
     Download complete = download;
     download = null;
     fetchAt = Long.MAX_VALUE;
     try {
-      Document document = complete.transfer().apply(held);
+      Document document = complete.transfer().apply(inForce);
       if (sound(document, complete.offer().checksum())) {
         needsSnapshot = false;
-        take(now, document, complete.offer().pending());
+        acceptDocument(now, document, complete.offer().pending());
         return;
       }
     } catch (DataFormatException unfit) {
-      // counted below
+      // counted as corrupt below
     }
-    corrupt++;
+    corruptTransfers++;
     needsSnapshot = true;
   }
 
-  /** Whether the document is the one that was offered. */
+  /** Whether the document has the checksum of its offer. */
   protected boolean sound(Document document, long checksum) {
     return document.checksum() == checksum;
   }
 
-  /** Asks for the next chunk, and again where none comes. */
-  private void fetch(long now) {
+  /** Requests the next chunk, and again later if it does not arrive. */
+  private void fetchNextChunk(long now) {
     if (download == null || download.complete()) {
       fetchAt = Long.MAX_VALUE;
       return;
@@ -323,16 +327,16 @@
     send(distributor(), new Fetch(name, incarnation, offer.version(), offer.base(), download.received()));
   }
 
-  /** Takes a complete document: holds one in force; prepares a pending one and decides nothing until it ends. */
-  private void take(long now, Document document, boolean pending) {
+  /** Installs a document in force, or prepares a pending one; none may be used then until the change is concluded. */
+  private void acceptDocument(long now, Document document, boolean pending) {
     if (!pending) {
       install(now, document);
       return;
     }
-    if (staged == null || staged.version() < document.version()) {
-      staged = document;
+    if (preparedDocument == null || preparedDocument.version() < document.version()) {
+      preparedDocument = document;
       dropLease(now);
-      leaveFormer();
+      releaseFormerLease();
     }
     send(distributor(), new Prepared(name, incarnation, document.version()));
   }
--- a/proxy/src/main/java/amberhoist/distribution/TokenBucket.java
+++ b/proxy/src/main/java/amberhoist/distribution/TokenBucket.java
@@ -1,23 +1,23 @@
 package amberhoist.distribution;
 
-/** A rate limit: tokens come at an even rate up to a burst, and each unit of work takes some. */
+/** A rate limiter: tokens are added at a constant rate up to a burst, and work takes them. */
 final class TokenBucket {
-  private static final double SECOND = 1_000_000;
+  private static final double MICROS_PER_SECOND = 1_000_000;
 
-  private final double perMicro;
+  private final double tokensPerMicro;
   private final double burst;
   private double tokens;
-  private long at;
+  private long refilledAt;
 
-  /** A full bucket with so many tokens a second and at most {@code burst}. */
+  /** Creates a full bucket of {@code burst} tokens, refilled at {@code perSecond}. */
   TokenBucket(long now, double perSecond, double burst) {
-    this.perMicro = perSecond / SECOND;
+    this.tokensPerMicro = perSecond / MICROS_PER_SECOND;
     this.burst = burst;
     tokens = burst;
-    at = now;
+    refilledAt = now;
   }
 
-  /** Takes so many tokens, or none where there are too few. */
+  /** Takes the tokens if there are enough; otherwise takes none and returns false. */
   boolean take(long now, double count) {
     refill(now);
     if (tokens < count) {
@@ -27,20 +27,20 @@
     return true;
   }
 
-  /** Takes what has been spent already; the bucket may go below zero. */
+  /** Takes tokens for work that is done already; the bucket may become negative. */
   void spend(long now, double count) {
     refill(now);
     tokens -= count;
   }
 
-  /** Microseconds until so many tokens will be there. */
+  /** Returns the microseconds until the bucket has this many tokens. */
   long microsUntil(long now, double count) {
     refill(now);
-    return tokens >= count ? 0 : (long) Math.ceil((count - tokens) / perMicro);
+    return tokens >= count ? 0 : (long) Math.ceil((count - tokens) / tokensPerMicro);
   }
 
   private void refill(long now) {
-    tokens = Math.min(burst, tokens + perMicro * Math.max(0, now - at));
-    at = Math.max(at, now);
+    tokens = Math.min(burst, tokens + tokensPerMicro * Math.max(0, now - refilledAt));
+    refilledAt = Math.max(refilledAt, now);
   }
 }
--- a/proxy/src/main/java/amberhoist/distribution/Transfers.java
+++ b/proxy/src/main/java/amberhoist/distribution/Transfers.java
@@ -5,49 +5,49 @@
 import java.util.TreeMap;
 
 /**
- * The transfers that a distributor can serve: deltas from documents that it keeps, snapshots for everybody else. Both
- * the documents kept and the transfers worked out are bounded.
+ * The transfers that a distributor can serve: deltas from the documents that it keeps, and snapshots for subscribers
+ * of other versions. Both the documents and the computed transfers are bounded.
  */
 public final class Transfers {
-  private static final int MOST_KEPT = 64; // documents
-  private static final int MOST_BYTES = 2 * Transfer.LARGEST; // of documents kept
-  private static final int MOST_CACHED = 64; // transfers
+  private static final int MAX_BASES = 64;
+  private static final int MAX_BASE_BYTES = 2 * Transfer.LARGEST;
+  private static final int MAX_CACHED_TRANSFERS = 64;
 
   private record Key(long base, long version) {}
 
-  private final TreeMap<Long, Document> kept = new TreeMap<>();
+  private final TreeMap<Long, Document> bases = new TreeMap<>();
   private final Map<Key, Transfer> cache = new LinkedHashMap<>(16, 0.75f, true) {
     private static final long serialVersionUID = 1;
 
     @Override
     protected boolean removeEldestEntry(Map.Entry<Key, Transfer> eldest) {
-      return size() > MOST_CACHED;
+      return size() > MAX_CACHED_TRANSFERS;
     }
   };
-  private long bytes;
+  private long baseBytes;
 
-  /** Keeps a document that was in force as a base for deltas; the oldest ones go. */
+  /** Keeps a document in force as a base for deltas, and evicts the oldest ones above the bounds. */
   public void keep(Document document) {
-    Document before = kept.put(document.version(), document);
-    bytes += document.bytes().length - (before == null ? 0 : before.bytes().length);
-    while (kept.size() > 1 && (kept.size() > MOST_KEPT || bytes > MOST_BYTES)) {
-      bytes -= kept.pollFirstEntry().getValue().bytes().length;
+    Document replaced = bases.put(document.version(), document);
+    baseBytes += document.bytes().length - (replaced == null ? 0 : replaced.bytes().length);
+    while (bases.size() > 1 && (bases.size() > MAX_BASES || baseBytes > MAX_BASE_BYTES)) {
+      baseBytes -= bases.pollFirstEntry().getValue().bytes().length;
     }
   }
 
-  /** The transfer to this document for a subscriber that holds {@code held}. */
+  /** Returns the transfer to this document for a subscriber that has the other version. */
   public Transfer to(Document target, long held) {
-    Document base = kept.getOrDefault(held, Document.NONE);
-    return between(base.version() < target.version() ? base : Document.NONE, target);
+    Document base = bases.getOrDefault(held, Document.NONE);
+    return cached(base.version() < target.version() ? base : Document.NONE, target);
   }
 
-  /** The transfer between these versions, or null where the base is not kept. */
+  /** Returns the transfer between these versions, or null if the base is not kept. */
   public Transfer from(long base, Document target) {
-    Document start = base == 0 ? Document.NONE : kept.get(base);
-    return start == null ? null : between(start, target);
+    Document baseDocument = base == 0 ? Document.NONE : bases.get(base);
+    return baseDocument == null ? null : cached(baseDocument, target);
   }
 
-  private Transfer between(Document base, Document target) {
+  private Transfer cached(Document base, Document target) {
     return cache.computeIfAbsent(new Key(base.version(), target.version()), key -> Transfer.between(base, target));
   }
 }
--- a/proxy/src/test/java/amberhoist/distribution/DistributorTest.java
+++ b/proxy/src/test/java/amberhoist/distribution/DistributorTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 class DistributorTest {
-  private static final long SECOND = 1_000_000;
+  private static final long SECOND_MICROS = 1_000_000;
   private static final DistributionSettings SETTINGS = DistributionSettings.of("fleet").withAdmissions(40);
   private static final Document FIRST = Document.of(1, "first");
   private static final PolicyState IN_FORCE = new PolicyState(FIRST, 1, null);
@@ -28,18 +28,18 @@
   private static final PolicyState WITHDRAWN = new PolicyState(FIRST, 2, null);
 
   private final List<Reply> replies = new ArrayList<>();
-  private long now = 100 * SECOND;
-  private Distributor distributor = started();
+  private long now = 100 * SECOND_MICROS;
+  private Distributor distributor = newDistributor();
 
-  private Distributor started() {
+  private Distributor newDistributor() {
     return new Distributor(SETTINGS, now, (to, reply) -> replies.add(reply));
   }
 
-  /** A distributor with a lease, that started long ago. */
-  private void serving(PolicyState state) {
+  /** Makes the distributor one with a lease, and past the leases from before its start. */
+  private void startServing(PolicyState state) {
     distributor.policy(now, state);
-    now += 10 * SECOND;
-    distributor.lease(now + 2 * SECOND);
+    now += 10 * SECOND_MICROS;
+    distributor.lease(now + 2 * SECOND_MICROS);
   }
 
   private void renew(String name, long incarnation, long held, long prepared) {
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void grantsNothingWithoutALeaseAndNothingThatOutlastsIt() {
+  void grantsOnlyWithinItsOwnLease() {
     distributor.policy(now, IN_FORCE);
     renew("a", 1, 1, 0);
     assertEquals(List.of(new Deferred(SETTINGS.renewEvery(), true)), replies);
@@ -64,70 +64,70 @@
   }
 
   @Test
-  void whoHoldsAnotherVersionIsOfferedTheOneInForceAndGetsNoLease() {
-    serving(IN_FORCE);
+  void offersVersionInForceInsteadOfLease() {
+    startServing(IN_FORCE);
     renew("a", 1, 0, 0);
     Offer offer = replies(Offer.class).get(0);
     assertEquals(1, offer.version());
-    assertEquals(offer.length(), offer.first().length, "the first chunk comes with it");
+    assertEquals(offer.length(), offer.first().length, "with the first chunk");
     renew("a", 1, 0, 0);
-    assertEquals(0, replies(Offer.class).get(1).first().length, "but once");
+    assertEquals(0, replies(Offer.class).get(1).first().length, "the first chunk is sent once");
     assertEquals(0, replies(Granted.class).size());
   }
 
   @Test
-  void aVersionIsPreparedOnceAllSubscribersPreparedItOrHoldNoLease() {
-    serving(IN_FORCE);
+  void versionIsPreparedWhenAllPreparedOrLeasesEnded() {
+    startServing(IN_FORCE);
     renew("a", 1, 1, 0);
     renew("b", 1, 1, 0);
     distributor.policy(now, PENDING);
-    assertEquals(2, replies(Offer.class).size(), "told at once");
+    assertEquals(2, replies(Offer.class).size(), "offered at once");
     distributor.receive(now, "a", new Prepared("a", 1, 2));
     assertFalse(distributor.prepared(now));
     long until = now + (long) (SETTINGS.lease() * (1 + DistributionSettings.DRIFT));
     assertFalse(distributor.prepared(until));
     assertTrue(distributor.prepared(until + 1));
-    distributor.lease(until + 2 * SECOND);
+    distributor.lease(until + 2 * SECOND_MICROS);
     now = until + 1;
     int before = replies(Granted.class).size();
     renew("b", 1, 1, 0);
-    assertEquals(before, replies(Granted.class).size(), "no lease on the version before any more");
+    assertEquals(before, replies(Granted.class).size(), "no lease on the version before");
     distributor.policy(now, CONCLUDED);
     renew("b", 1, 2, 0);
     assertEquals(before + 1, replies(Granted.class).size());
   }
 
   @Test
-  void whileAChangeIsFetchedLeasesGoOnButNotForEver() {
-    serving(IN_FORCE);
+  void grantsLeasesWhileChangeIsFetchedForALimitedTime() {
+    startServing(IN_FORCE);
     renew("a", 1, 1, 0);
     distributor.policy(now, PENDING);
     renew("a", 1, 1, 0);
     assertEquals(2, replies(Granted.class).size());
     now += SETTINGS.stage();
-    distributor.lease(now + SECOND);
+    distributor.lease(now + SECOND_MICROS);
     renew("a", 1, 1, 0);
-    assertEquals(2, replies(Granted.class).size(), "a slow subscriber holds up a change no longer");
+    assertEquals(2, replies(Granted.class).size(), "a slow subscriber no longer delays the change");
   }
 
   @Test
-  void aWithdrawnChangeIsOver() {
-    serving(IN_FORCE);
+  void grantsLeasesAfterWithdrawnChange() {
+    startServing(IN_FORCE);
     renew("a", 1, 1, 0);
     distributor.policy(now, PENDING);
     distributor.receive(now, "a", new Prepared("a", 1, 2));
     distributor.policy(now, WITHDRAWN);
     renew("a", 1, 1, 2);
-    assertEquals(new Message.Status(1, 2, false), replies.get(replies.size() - 1), "told, and has to ask anew");
+    assertEquals(new Message.Status(1, 2, false), replies.get(replies.size() - 1), "gets the status, and has to renew");
     renew("a", 1, 1, 0);
     assertEquals(2, replies(Granted.class).size());
   }
 
-  /** Guards against an earlier life of this distributor that granted leases, and may have reported the version. */
+  /** Before a restart the distributor may have granted leases, and may have reported the pending version. */
   @Test
-  void oneThatStartsIntoAChangeGrantsNothingOnTheVersionBeforeAndWaits() {
+  void restartDuringChangeGrantsNothingAndWaitsForFormerLeases() {
     distributor.policy(now, PENDING);
-    distributor.lease(now + 2 * SECOND);
+    distributor.lease(now + 2 * SECOND_MICROS);
     renew("a", 1, 1, 0);
     assertEquals(0, replies(Granted.class).size());
     long longest = (long) (SETTINGS.lease() * (1 + DistributionSettings.DRIFT));
@@ -136,20 +136,20 @@
   }
 
   @Test
-  void aSubscriberThatStartsAgainIsCountedWithTheLeaseOfItsFormerLife() {
-    serving(IN_FORCE);
+  void restartedSubscriberCountsWithItsFormerLease() {
+    startServing(IN_FORCE);
     renew("a", 1, 1, 0);
     renew("a", 2, 0, 0);
     distributor.policy(now, PENDING);
     distributor.receive(now, "a", new Prepared("a", 2, 2));
-    distributor.receive(now, "a", new Prepared("a", 1, 2)); // of the former life: means nothing
+    distributor.receive(now, "a", new Prepared("a", 1, 2)); // of the former incarnation: ignored
     assertFalse(distributor.prepared(now));
     assertTrue(distributor.prepared(now + 2 * SETTINGS.lease()));
   }
 
   @Test
-  void callersOfAnotherFleetOrUnderAnotherNameAreRejectedAndCounted() {
-    serving(IN_FORCE);
+  void rejectsWrongFleetOrSubscriberName() {
+    startServing(IN_FORCE);
     distributor.receive(now, "a", new Renew("other", "a", 1, now, 1, 0));
     distributor.receive(now, "a", new Renew("fleet", "b", 1, now, 1, 0));
     distributor.receive(now, "x".repeat(200), new Renew("fleet", "x".repeat(200), 1, now, 1, 0));
@@ -159,40 +159,40 @@
   }
 
   @Test
-  void moreAreAdmittedThanTheBoundNeitherAtOnceNorOverTime() {
-    serving(IN_FORCE);
+  void limitsAdmissionsAndStaggersRetries() {
+    startServing(IN_FORCE);
     for (int i = 0; i < 200; i++) {
       renew("p" + i, 1, 1, 0);
     }
     assertTrue(distributor.counters().admitted() <= 40, distributor.counters().admitted() + " at once");
     List<Long> waits = replies(Deferred.class).stream().map(Deferred::after).distinct().toList();
-    assertTrue(waits.size() > 100, "those that were not are spread over time");
-    assertTrue(waits.stream().allMatch(wait -> wait <= 10 * SECOND));
+    assertTrue(waits.size() > 100, "retries are spread over time");
+    assertTrue(waits.stream().allMatch(wait -> wait <= 10 * SECOND_MICROS));
     renew("p0", 1, 1, 0);
     assertEquals(2, replies(Granted.class).stream().filter(each -> each.askedAt() == now).count()
-        - distributor.counters().admitted() + 1, "who is admitted is not asked to wait");
+        - distributor.counters().admitted() + 1, "an admitted subscriber is not deferred");
   }
 
-  /** Guards against those who went elsewhere keeping their turns, and who comes much later waiting behind them. */
+  /** Subscribers that went elsewhere must not keep their retry slots and so delay those that come much later. */
   @Test
-  void turnsThatNobodyUsesPassBy() {
-    serving(IN_FORCE);
+  void unusedRetrySlotsExpire() {
+    startServing(IN_FORCE);
     for (int i = 0; i < 400; i++) {
       renew("p" + i, 1, 1, 0);
     }
-    now += 30 * SECOND;
-    distributor.lease(now + SECOND);
+    now += 30 * SECOND_MICROS;
+    distributor.lease(now + SECOND_MICROS);
     replies.clear();
-    for (int i = 0; i < 11; i++) { // one more than at once
+    for (int i = 0; i < 11; i++) { // one more than the burst
       renew("q" + i, 1, 1, 0);
     }
     assertEquals(10, replies(Granted.class).size());
-    assertTrue(replies(Deferred.class).get(0).after() < SECOND / 10, replies(Deferred.class) + "");
+    assertTrue(replies(Deferred.class).get(0).after() < SECOND_MICROS / 10, replies(Deferred.class) + "");
   }
 
   @Test
-  void whoKnowsMoreIsSentElsewhere() {
-    serving(IN_FORCE);
+  void sendsSubscriberThatIsAheadElsewhere() {
+    startServing(IN_FORCE);
     renew("a", 1, 2, 0);
     renew("b", 1, 1, 2);
     assertEquals(2, replies(Deferred.class).stream().filter(Deferred::elsewhere).count());
@@ -201,23 +201,23 @@
   }
 
   @Test
-  void whoHoldsAnEarlierVersionGetsTheDifference() {
-    String long1 = "a".repeat(20_000) + "one" + "b".repeat(20_000);
-    String long2 = "a".repeat(20_000) + "two" + "b".repeat(20_000);
-    distributor.policy(now, new PolicyState(Document.of(1, long1), 1, null));
-    serving(new PolicyState(Document.of(2, long2), 2, null));
+  void offersDeltaFromAnEarlierVersion() {
+    String oldText = "a".repeat(20_000) + "one" + "b".repeat(20_000);
+    String newText = "a".repeat(20_000) + "two" + "b".repeat(20_000);
+    distributor.policy(now, new PolicyState(Document.of(1, oldText), 1, null));
+    startServing(new PolicyState(Document.of(2, newText), 2, null));
     renew("a", 1, 1, 0);
     assertEquals(1, replies(Offer.class).get(0).base());
     assertTrue(replies(Offer.class).get(0).length() < 100);
     renew("b", 1, 0, 0);
-    assertEquals(0, replies(Offer.class).get(1).base(), "a snapshot for who holds nothing that is kept");
+    assertEquals(0, replies(Offer.class).get(1).base(), "a snapshot, since the base is not kept");
   }
 
   @Test
-  void chunksAreAnsweredWithinTheDocumentAndTheBudget() {
+  void servesChunksWithinDocumentAndByteRate() {
     byte[] noise = new byte[200_000];
     new java.util.Random(1).nextBytes(noise);
-    serving(new PolicyState(new Document(1, noise), 1, null));
+    startServing(new PolicyState(new Document(1, noise), 1, null));
     renew("a", 1, 0, 0);
     for (int offset : new int[] {-1, 1 << 30, Integer.MAX_VALUE, Integer.MIN_VALUE}) {
       distributor.receive(now, "a", new Fetch("a", 1, 1, 0, offset));
@@ -230,19 +230,19 @@
       distributor.receive(now, "a", new Fetch("a", 1, 1, 0, 0));
     }
     int bytes = replies(Chunk.class).stream().mapToInt(chunk -> chunk.bytes().length).sum();
-    assertTrue(bytes > 0 && bytes <= Math.max(2 * SETTINGS.chunk(), SETTINGS.bytesPerSecond()), bytes + " at once");
+    assertTrue(bytes > 0 && bytes <= Math.max(2 * SETTINGS.chunk(), SETTINGS.bytesPerSecond()), bytes + " bytes");
   }
 
   @Test
-  void whoLeavesOrFallsSilentIsForgotten() {
-    serving(IN_FORCE);
+  void removesSubscribersThatLeaveOrAreSilent() {
+    startServing(IN_FORCE);
     renew("a", 1, 1, 0);
     renew("b", 1, 1, 0);
     distributor.receive(now, "a", new Leave("a", 1));
     assertEquals(1, distributor.subscribers());
     distributor.expire(now + SETTINGS.lease());
     assertEquals(1, distributor.subscribers());
-    distributor.expire(now + 10 * SECOND);
+    distributor.expire(now + 10 * SECOND_MICROS);
     assertEquals(0, distributor.subscribers());
   }
 }
--- a/proxy/src/test/java/amberhoist/distribution/SubscriberTest.java
+++ b/proxy/src/test/java/amberhoist/distribution/SubscriberTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 
 class SubscriberTest {
-  private static final long MILLI = 1_000;
+  private static final long MICROS_PER_MILLI = 1_000;
   private static final DistributionSettings SETTINGS = DistributionSettings.of("fleet");
   private static final Document FIRST = Document.of(1, "first");
   private static final Document SECOND = Document.of(2, "second");
@@ -34,7 +34,7 @@
   private final Subscriber subscriber = new Subscriber(SETTINGS, "p", 1, List.of("near", "far", "farther"),
       new Random(1), now, (to, request) -> sent.add(new Sent(this.now, to, request)));
 
-  private void pass(long micros) {
+  private void advance(long micros) {
     long end = now + micros;
     while (subscriber.nextStep() <= end) {
       now = Math.max(now, subscriber.nextStep());
@@ -47,7 +47,7 @@
     subscriber.receive(now, subscriber.distributor(), reply, 64);
   }
 
-  private static Offer whole(Document document, boolean pending) {
+  private static Offer snapshotOffer(Document document, boolean pending) {
     return Transfer.between(Document.NONE, document).offer(pending, SETTINGS.chunk());
   }
 
@@ -55,8 +55,8 @@
     receive(new Granted(now, version, SETTINGS.lease()));
   }
 
-  private void hold(Document document) {
-    receive(whole(document, false));
+  private void installWithLease(Document document) {
+    receive(snapshotOffer(document, false));
     grant(document.version());
     assertEquals(document.version(), subscriber.decides(now));
   }
@@ -66,11 +66,11 @@
   }
 
   @Test
-  void decidesByWhatItHoldsUnderALeaseThatCountsFromItsQuestion() {
-    receive(whole(FIRST, false));
+  void versionIsUsableWithLeaseCountedFromItsRequest() {
+    receive(snapshotOffer(FIRST, false));
     assertEquals(-1, subscriber.decides(now), "no lease yet");
     long askedAt = now;
-    now += 400 * MILLI;
+    now += 400 * MICROS_PER_MILLI;
     receive(new Granted(askedAt, 1, SETTINGS.lease()));
     long end = askedAt + (long) (SETTINGS.lease() * (1 - DistributionSettings.DRIFT));
     assertEquals(1, subscriber.decides(end - 1));
@@ -78,8 +78,8 @@
   }
 
   @Test
-  void aLeaseIsNeitherLongerThanSetNorFromTheFutureNorOnAnotherVersion() {
-    receive(whole(FIRST, false));
+  void ignoresInvalidGrantsAndCapsTheLease() {
+    receive(snapshotOffer(FIRST, false));
     receive(new Granted(now + 1, 1, SETTINGS.lease()));
     receive(new Granted(now, 2, SETTINGS.lease()));
     assertEquals(-1, subscriber.decides(now));
@@ -88,94 +88,94 @@
   }
 
   @Test
-  void decidesByNothingFromPreparedUntilConcluded() {
-    hold(FIRST);
-    receive(whole(SECOND, true));
+  void noVersionIsUsableFromPreparedUntilConcluded() {
+    installWithLease(FIRST);
+    receive(snapshotOffer(SECOND, true));
     assertEquals(List.of(new Prepared("p", 1, 2)), requests(Prepared.class));
     assertEquals(-1, subscriber.decides(now));
-    receive(new Granted(now - 1, 1, SETTINGS.lease())); // was on its way
+    receive(new Granted(now - 1, 1, SETTINGS.lease())); // in flight when the version was prepared
     receive(new Status(1, 2, true)); // still pending
     assertEquals(-1, subscriber.decides(now));
     receive(new Status(2, 2, false));
-    assertEquals(-1, subscriber.decides(now), "the lease was on the version before");
+    assertEquals(-1, subscriber.decides(now), "the lease is on the version before");
     grant(2);
     assertEquals(2, subscriber.decides(now));
     assertArrayEquals(SECOND.bytes(), subscriber.held().bytes());
   }
 
-  /** Guards against a lease that its distributor had counted as given up. */
+  /** The distributor counts a lease as given up once the subscriber has prepared, so it must not be used again. */
   @Test
-  void aWithdrawnChangeLeavesNoLeaseFromBefore() {
-    hold(FIRST);
+  void leaseFromBeforeAWithdrawnChangeIsNotUsed() {
+    installWithLease(FIRST);
     long askedAt = now;
-    now += 10 * MILLI;
-    receive(whole(SECOND, true));
-    now += 10 * MILLI;
+    now += 10 * MICROS_PER_MILLI;
+    receive(snapshotOffer(SECOND, true));
+    now += 10 * MICROS_PER_MILLI;
     receive(new Status(1, 2, false));
     assertEquals(-1, subscriber.decides(now));
     receive(new Granted(askedAt, 1, SETTINGS.lease()));
-    assertEquals(-1, subscriber.decides(now), "asked for before it prepared");
+    assertEquals(-1, subscriber.decides(now), "requested before the version was prepared");
     grant(1);
     assertEquals(1, subscriber.decides(now));
   }
 
   @Test
-  void aDistributorThatIsBehindWithdrawsNothingAndBringsNothingBack() {
-    hold(FIRST);
-    receive(whole(SECOND, true));
-    receive(new Status(1, 1, false)); // has not heard of the change
+  void distributorBehindNeitherWithdrawsNorRevertsAVersion() {
+    installWithLease(FIRST);
+    receive(snapshotOffer(SECOND, true));
+    receive(new Status(1, 1, false)); // a distributor that does not know the change yet
     assertEquals(2, requests(Renew.class).isEmpty() ? 2 : subscriber.held().version() + 1, "still prepared");
     receive(new Status(2, 2, false));
     grant(2);
-    receive(whole(FIRST, false));
+    receive(snapshotOffer(FIRST, false));
     assertEquals(2, subscriber.decides(now));
     assertEquals(2, subscriber.held().version());
   }
 
   @Test
-  void aVersionInForceThatItHadPreparedNeedsNoOtherTransfer() {
-    hold(FIRST);
-    receive(whole(SECOND, true));
-    receive(Transfer.between(FIRST, SECOND).offer(false, 0)); // without its bytes
+  void preparedVersionIsInstalledWithoutAnotherTransfer() {
+    installWithLease(FIRST);
+    receive(snapshotOffer(SECOND, true));
+    receive(Transfer.between(FIRST, SECOND).offer(false, 0)); // without a first chunk
     assertEquals(2, subscriber.held().version());
     assertEquals(List.of(), requests(Fetch.class));
   }
 
-  private static Document large() {
+  private static Document largeDocument() {
     byte[] bytes = new byte[40_000];
     new Random(3).nextBytes(bytes);
     return new Document(7, bytes);
   }
 
   @Test
-  void aTransferGoesOnAtAnotherDistributorWhereItBroke() {
-    Transfer transfer = Transfer.between(Document.NONE, large());
+  void resumesTransferAtAnotherDistributor() {
+    Transfer transfer = Transfer.between(Document.NONE, largeDocument());
     receive(transfer.offer(false, SETTINGS.chunk()));
-    pass(MILLI);
+    advance(MICROS_PER_MILLI);
     assertEquals(SETTINGS.chunk(), requests(Fetch.class).get(0).offset());
     subscriber.disconnected(now, "near");
     assertEquals("far", subscriber.distributor());
-    pass(SETTINGS.backoffMost());
+    advance(SETTINGS.backoffMost());
     receive(transfer.offer(false, SETTINGS.chunk()));
     for (int fetches = 1; subscriber.held().version() != 7; fetches++) {
-      pass(SETTINGS.renewEvery());
+      advance(SETTINGS.renewEvery());
       Fetch fetch = requests(Fetch.class).get(requests(Fetch.class).size() - 1);
-      assertTrue(fetch.offset() >= SETTINGS.chunk(), "what came is kept");
+      assertTrue(fetch.offset() >= SETTINGS.chunk(), "the bytes received are kept");
       int end = Math.min(transfer.body().length, fetch.offset() + SETTINGS.chunk());
       receive(new Chunk(7, 0, fetch.offset(), Arrays.copyOfRange(transfer.body(), fetch.offset(), end)));
-      assertTrue(fetches < 100, "ends");
+      assertTrue(fetches < 100, "the transfer ends");
     }
-    assertArrayEquals(large().bytes(), subscriber.held().bytes());
+    assertArrayEquals(largeDocument().bytes(), subscriber.held().bytes());
   }
 
   @Test
-  void aTransferKeepsToTheBudgetOfBytes() {
-    Transfer transfer = Transfer.between(Document.NONE, large());
+  void transferKeepsToTheByteRate() {
+    Transfer transfer = Transfer.between(Document.NONE, largeDocument());
     long from = now;
     subscriber.receive(now, "near", transfer.offer(false, SETTINGS.chunk()), SETTINGS.chunk());
     while (subscriber.held().version() != 7) {
       int before = requests(Fetch.class).size();
-      pass(10 * MILLI);
+      advance(10 * MICROS_PER_MILLI);
       if (requests(Fetch.class).size() > before) {
         Fetch fetch = requests(Fetch.class).get(before);
         int end = Math.min(transfer.body().length, fetch.offset() + SETTINGS.chunk());
@@ -183,7 +183,7 @@
         subscriber.receive(now, subscriber.distributor(), new Chunk(7, 0, fetch.offset(), bytes), bytes.length);
       }
       if (subscriber.moves() == 0) {
-        receive(new Status(0, 7, false)); // keeps it here
+        receive(new Status(0, 7, false)); // a reply, so that it does not change the distributor
       }
     }
     double seconds = (now - from) / 1e6;
@@ -193,57 +193,57 @@
   }
 
   @Test
-  void aTransferWithAnotherChecksumIsAskedForAsAWhole() {
-    hold(FIRST);
-    Transfer right = Transfer.between(FIRST, SECOND);
-    receive(new Transfer(2, 1, right.from(), right.removed(), right.checksum() + 1, right.body()).offer(false, 4096));
+  void requestsSnapshotAfterChecksumMismatch() {
+    installWithLease(FIRST);
+    Transfer valid = Transfer.between(FIRST, SECOND);
+    receive(new Transfer(2, 1, valid.from(), valid.removed(), valid.checksum() + 1, valid.body()).offer(false, 4096));
     assertEquals(1, subscriber.held().version());
     assertEquals(1, subscriber.corrupt());
     sent.clear();
-    pass(SETTINGS.renewEvery());
-    assertEquals(0, requests(Renew.class).get(0).held(), "a snapshot, please");
-    receive(whole(SECOND, false));
+    advance(SETTINGS.renewEvery());
+    assertEquals(0, requests(Renew.class).get(0).held(), "requests a snapshot");
+    receive(snapshotOffer(SECOND, false));
     assertEquals(2, subscriber.held().version());
   }
 
   @Test
-  void withNoAnswerTheNextDistributorIsAskedWithBackoff() {
-    pass(60_000 * MILLI);
+  void changesDistributorWithBackoffWhenUnanswered() {
+    advance(60_000 * MICROS_PER_MILLI);
     List<String> asked = sent.stream().map(Sent::to).distinct().toList();
     assertEquals(List.of("near", "far", "farther"), asked);
-    assertTrue(sent.size() < 60, sent.size() + " requests in a minute, with nobody there");
-    assertTrue(sent.size() > 15, sent.size() + " requests in a minute: it goes on trying");
+    assertTrue(sent.size() < 60, sent.size() + " requests in a minute without a reply");
+    assertTrue(sent.size() > 15, sent.size() + " requests in a minute: keeps retrying");
   }
 
   @Test
-  void whoIsDeferredWaitsAsToldAndWhoIsSentElsewhereGoes() {
-    pass(SETTINGS.renewEvery());
+  void followsDeferredReplies() {
+    advance(SETTINGS.renewEvery());
     sent.clear();
-    receive(new Deferred(3_000 * MILLI, false));
-    pass(2_900 * MILLI);
+    receive(new Deferred(3_000 * MICROS_PER_MILLI, false));
+    advance(2_900 * MICROS_PER_MILLI);
     assertEquals(0, sent.size());
-    pass(200 * MILLI);
+    advance(200 * MICROS_PER_MILLI);
     assertEquals("near", sent.get(0).to());
-    receive(new Deferred(100 * MILLI, true));
+    receive(new Deferred(100 * MICROS_PER_MILLI, true));
     assertEquals("far", subscriber.distributor());
   }
 
   @Test
-  void itReturnsToThePreferredDistributorOnceThatAnswers() {
+  void returnsToThePreferredDistributorWhenItAnswers() {
     subscriber.disconnected(now, "near");
-    hold(FIRST);
+    installWithLease(FIRST);
     sent.clear();
     for (int i = 0; i < 120 && sent.stream().noneMatch(each -> each.to().equals("near")); i++) {
-      pass(SETTINGS.renewEvery());
+      advance(SETTINGS.renewEvery());
       grant(1);
     }
-    subscriber.receive(now, "near", new Deferred(MILLI, true), 64);
-    assertEquals("far", subscriber.distributor(), "not while it refuses");
+    subscriber.receive(now, "near", new Deferred(MICROS_PER_MILLI, true), 64);
+    assertEquals("far", subscriber.distributor(), "not while it defers");
     subscriber.receive(now, "near", new Status(1, 1, false), 64);
     assertEquals("near", subscriber.distributor());
-    assertEquals(1, subscriber.decides(now), "the lease goes on");
-    assertEquals(0, requests(Leave.class).size(), "by the one before, who must count it");
-    now += 100 * MILLI;
+    assertEquals(1, subscriber.decides(now), "the lease stays valid");
+    assertEquals(0, requests(Leave.class).size(), "the lease is that of the former distributor, which must count it");
+    now += 100 * MICROS_PER_MILLI;
     grant(1);
     assertEquals("far", sent.get(sent.size() - 1).to());
     assertEquals(List.of(new Leave("p", 1)), requests(Leave.class));
--- a/proxy/src/test/java/amberhoist/distribution/TransferTest.java
+++ b/proxy/src/test/java/amberhoist/distribution/TransferTest.java
@@ -13,7 +13,7 @@
 
 class TransferTest {
   @Test
-  void anyDocumentIsReachedFromAnyOther() throws DataFormatException {
+  void transfersBetweenRandomDocuments() throws DataFormatException {
     Random random = new Random(4);
     byte[] before = new byte[0];
     for (int version = 1; version < 400; version++) {
@@ -26,20 +26,20 @@
     }
   }
 
-  /** A few bytes are put in, left out or repeated somewhere, so that beginnings and ends are alike in many ways. */
+  /** Inserts, removes or repeats a few bytes at a random place, so that common prefixes and suffixes overlap. */
   private static byte[] edited(byte[] bytes, Random random) {
     int from = bytes.length == 0 ? 0 : random.nextInt(bytes.length);
     int to = Math.min(bytes.length, from + random.nextInt(6));
-    byte[] put = new byte[random.nextInt(8)];
-    Arrays.fill(put, (byte) ('a' + random.nextInt(2)));
-    byte[] result = Arrays.copyOf(bytes, bytes.length - (to - from) + put.length);
-    System.arraycopy(put, 0, result, from, put.length);
-    System.arraycopy(bytes, to, result, from + put.length, bytes.length - to);
+    byte[] inserted = new byte[random.nextInt(8)];
+    Arrays.fill(inserted, (byte) ('a' + random.nextInt(2)));
+    byte[] result = Arrays.copyOf(bytes, bytes.length - (to - from) + inserted.length);
+    System.arraycopy(inserted, 0, result, from, inserted.length);
+    System.arraycopy(bytes, to, result, from + inserted.length, bytes.length - to);
     return result;
   }
 
   @Test
-  void aSmallChangeOfALargeDocumentIsSmall() {
+  void smallChangeOfLargeDocumentIsSmallTransfer() {
     String large = "line of a policy\n".repeat(12_000);
     Document base = Document.of(1, large);
     Document target = Document.of(2, large.substring(0, 90_000) + "changed" + large.substring(90_000));
@@ -48,23 +48,23 @@
   }
 
   @Test
-  void whatDoesNotFitIsRefused() {
+  void rejectsInvalidTransfers() {
     Document base = Document.of(1, "abcdef");
-    Transfer right = Transfer.between(base, Document.of(2, "abXdef"));
-    List<Transfer> wrong = List.of(
-        new Transfer(2, 3, right.from(), right.removed(), right.checksum(), right.body()),
-        new Transfer(2, 1, -1, right.removed(), right.checksum(), right.body()),
-        new Transfer(2, 1, 6, 1, right.checksum(), right.body()),
-        new Transfer(2, 1, Integer.MAX_VALUE, Integer.MAX_VALUE, right.checksum(), right.body()),
-        new Transfer(2, 1, 0, 0, right.checksum(), Arrays.copyOf(right.body(), right.body().length - 5)),
-        new Transfer(2, 1, 0, 0, right.checksum(), new byte[] {1, 2, 3}));
-    for (Transfer transfer : wrong) {
+    Transfer valid = Transfer.between(base, Document.of(2, "abXdef"));
+    List<Transfer> invalid = List.of(
+        new Transfer(2, 3, valid.from(), valid.removed(), valid.checksum(), valid.body()),
+        new Transfer(2, 1, -1, valid.removed(), valid.checksum(), valid.body()),
+        new Transfer(2, 1, 6, 1, valid.checksum(), valid.body()),
+        new Transfer(2, 1, Integer.MAX_VALUE, Integer.MAX_VALUE, valid.checksum(), valid.body()),
+        new Transfer(2, 1, 0, 0, valid.checksum(), Arrays.copyOf(valid.body(), valid.body().length - 5)),
+        new Transfer(2, 1, 0, 0, valid.checksum(), new byte[] {1, 2, 3}));
+    for (Transfer transfer : invalid) {
       assertThrows(DataFormatException.class, () -> transfer.apply(base), transfer.toString());
     }
   }
 
   @Test
-  void aSmallBodyThatInflatesWithoutEndIsRefused() {
+  void rejectsBodyThatInflatesAboveTheLimit() {
     Document bomb = new Document(1, new byte[Transfer.LARGEST + 1]);
     Transfer transfer = Transfer.between(Document.NONE, bomb);
     assertTrue(transfer.body().length < 10_000);
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void subscribersSpreadOverTheirRegionAndThenItsNeighbours() {
+  void ordersDistributorsByRegionAndRendezvousHashing() {
     List<DistributorOrder.Location> locations = List.of(new DistributorOrder.Location("a1", "a"),
         new DistributorOrder.Location("a2", "a"), new DistributorOrder.Location("b1", "b"),
         new DistributorOrder.Location("c1", "c"), new DistributorOrder.Location("c2", "c"));
@@ -85,7 +85,7 @@
       List<String> without = DistributorOrder.of("p" + i, List.of("a", "c", "b"), locations.subList(1, 5));
       movedFromOthers += order.get(0).equals("a2") && !without.get(0).equals("a2") ? 1 : 0;
     }
-    assertTrue(first > 430 && first < 570, first + " of 1000 at one of two");
+    assertTrue(first > 430 && first < 570, first + " of 1000 prefer the first of two distributors");
     assertEquals(0, movedFromOthers);
   }
 }
