--- a/proxy/src/main/java/amberhoist/distribution/controller/Controller.java
+++ b/proxy/src/main/java/amberhoist/distribution/controller/Controller.java
@@ -16,17 +16,18 @@
 
 /**
  * One of the fleet's controllers: the distributor for a part of the proxies, and either a member of the group or a
- * replica that its leader keeps up to date. It renews the distributor's lease with the leader and reports what all of
- * its subscribers have prepared; while it leads it grants leases and concludes changes. All calls belong to one thread.
+ * replica that the leader keeps up to date. It renews the distributor's lease with the leader, and reports a version
+ * that all of its subscribers have prepared. While it is the leader it grants leases and concludes changes. Not
+ * thread-safe: all calls must come from one thread.
  */
 public final class Controller {
-  private static final long RENEW = 500_000;
-  private static final long EXPIRE = 1_000_000;
-  private static final long REPORT_AGAIN = 300_000;
+  private static final long RENEW_PERIOD_MICROS = 500_000;
+  private static final long EXPIRE_PERIOD_MICROS = 1_000_000;
+  private static final long REPORT_PERIOD_MICROS = 300_000;
 
-  /** Carries messages to other controllers, and to this one. */
+  /** Sends messages to the controllers, this one included. */
   public interface Peers {
-    /** Sends this to the controller of that name; it may get lost. */
+    /** Sends a message to the controller of this name; it may get lost. */
     void send(String controller, PeerMessage message);
   }
 
@@ -34,16 +35,16 @@
   private final List<String> controllers;
   private final GroupMember member; // null for a replica
   private final Replica replica; // null for a member
-  private final Follower follower;
+  private final Follower replicatedState;
   private final Distributor distributor;
   private final Peers peers;
   private final LongSupplier clock;
-  private final Leases.Holder holder = new Leases.Holder();
+  private final Leases.Holder memberLease = new Leases.Holder();
   private final ReplicaFeed feed = new ReplicaFeed();
-  private Leases.Granter granter;
-  private int granterTerm = -1;
-  private long fedLatest = -1;
-  private boolean fedPending;
+  private Leases.Granter leaderLeases;
+  private int leaderTerm = -1;
+  private long publishedVersion = -1;
+  private boolean publishedPending;
   private long renewAt = Long.MIN_VALUE;
   private long expireAt = Long.MIN_VALUE;
   private long reportAt = Long.MIN_VALUE;
@@ -57,104 +58,104 @@
     this.distributor = distributor;
     this.peers = peers;
     this.clock = clock;
-    follower = member == null ? replica : new MemberFollower();
+    replicatedState = member == null ? replica : new MemberState();
   }
 
   /**
-   * A controller that is a member of the group, and starts now.
+   * Creates a controller that is a member of the group, and starts now.
    *
-   * @param controllers the names of all controllers, this one among them
-   * @param clock its own monotonic clock, in microseconds
+   * @param controllers names of all controllers, including this one
+   * @param clock monotonic clock, in microseconds
    */
   public static Controller member(Member self, List<String> controllers, GroupMember member, Distributor distributor,
       Peers peers, LongSupplier clock) {
     return new Controller(self.name(), controllers, member, null, distributor, peers, clock);
   }
 
-  /** A controller that is no member, and learns from the leader among these voters. */
+  /** Creates a controller that is no member of the group, and gets the state from the leader among these voters. */
   public static Controller replica(String name, List<String> controllers, List<String> voters, Distributor distributor,
       Peers peers, LongSupplier clock) {
     Replica replica = new Replica(voters, name.hashCode());
     return new Controller(name, controllers, null, replica, distributor, peers, clock);
   }
 
-  /** The log has led on: the distributor learns of it before any lease that requires it, and so do replicas. */
+  /** The state has changed: passes it to the distributor, before a lease that requires it, and to replicas. */
   public void learned() {
-    PolicyState state = follower.state();
+    PolicyState state = replicatedState.state();
     distributor.policy(clock.getAsLong(), state);
-    hold();
-    boolean changed = fedLatest != state.latest() || fedPending != (state.pending() != null);
+    updateDistributorLease();
+    boolean changed = publishedVersion != state.latest() || publishedPending != (state.pending() != null);
     if (changed && leads()) {
-      fedLatest = state.latest();
-      fedPending = state.pending() != null;
-      feed.replicas().forEach(each -> peers.send(each, update(each)));
+      publishedVersion = state.latest();
+      publishedPending = state.pending() != null;
+      feed.replicas().forEach(each -> peers.send(each, updateFor(each)));
     }
   }
 
-  private StateUpdate update(String asker) {
-    boolean prepared = member.rollout().prepared().contains(asker);
-    return feed.update(asker, member.applied(), follower.state(), prepared);
+  private StateUpdate updateFor(String replicaName) {
+    boolean prepared = member.rollout().prepared().contains(replicaName);
+    return feed.update(replicaName, member.applied(), replicatedState.state(), prepared);
   }
 
-  /** Does what is due; to be called every few tens of milliseconds. */
+  /** Performs periodic work; to be called every few tens of milliseconds. */
   public void turn() {
     long now = clock.getAsLong();
     if (leads()) {
-      lead(now);
+      concludeChange(now);
     }
-    if (follower.leader() != null) {
-      follow(now);
+    if (replicatedState.leader() != null) {
+      reportAndRenew(now);
     }
     if (now >= expireAt) {
-      expireAt = now + EXPIRE;
+      expireAt = now + EXPIRE_PERIOD_MICROS;
       distributor.expire(now);
     }
   }
 
-  /** Whether this controller leads the group, as far as it knows. */
+  /** Whether this controller is the leader, as far as it knows. */
   public boolean leads() {
     return member != null && member.leader() != null && member.leader().name().equals(name);
   }
 
-  /** What this controller knows of the policy. */
+  /** Returns the state of the policy, as far as this controller knows it. */
   public PolicyState state() {
-    return follower.state();
+    return replicatedState.state();
   }
 
-  private void follow(long now) {
-    boolean reports = now >= reportAt && follower.state().pending() != null && !follower.prepared();
-    if (reports && distributor.prepared(now)) {
-      reportAt = now + REPORT_AGAIN;
-      peers.send(follower.leader(), new PreparedReport(follower.state().latest()));
+  private void reportAndRenew(long now) {
+    boolean isReportDue = now >= reportAt && replicatedState.state().pending() != null && !replicatedState.prepared();
+    if (isReportDue && distributor.prepared(now)) {
+      reportAt = now + REPORT_PERIOD_MICROS;
+      peers.send(replicatedState.leader(), new PreparedReport(replicatedState.state().latest()));
     }
     if (now >= renewAt) {
-      renewAt = now + RENEW;
-      PolicyState state = follower.state();
+      renewAt = now + RENEW_PERIOD_MICROS;
+      PolicyState state = replicatedState.state();
       LeaseRequest request = replica != null ? replica.request(now)
           : new LeaseRequest(now, state.inForce().version(), state.latest(), false);
-      peers.send(follower.leader(), request);
+      peers.send(replicatedState.leader(), request);
     }
   }
 
-  private void lead(long now) {
-    if (granterTerm != member.term()) {
-      granterTerm = member.term();
-      granter = new Leases.Granter(now);
+  private void concludeChange(long now) {
+    if (leaderTerm != member.term()) {
+      leaderTerm = member.term();
+      leaderLeases = new Leases.Granter(now);
     }
-    byte[] command = granter.conclude(now, controllers, member.rollout());
+    byte[] command = leaderLeases.conclude(now, controllers, member.rollout());
     if (command != null) {
       member.command(command);
     }
   }
 
-  /** Another controller has sent this. */
+  /** Handles a message from another controller, or from this one. */
   public void receive(String from, PeerMessage message) {
     if (message instanceof LeaseRequest request && member != null) {
-      grant(from, request);
+      onLeaseRequest(from, request);
     } else if (message instanceof LeaseGrant grant) {
-      granted(from, grant);
+      onLeaseGranted(from, grant);
     } else if (message instanceof StateUpdate update && replica != null) {
-      learn(update);
+      applyUpdate(update);
     } else if (message instanceof Redirect redirect && replica != null) {
       replica.redirected(redirect.leader());
       renewAt = redirect.leader() == null ? renewAt : Long.MIN_VALUE;
@@ -164,52 +165,52 @@
     }
   }
 
-  private void granted(String from, LeaseGrant grant) {
+  private void onLeaseGranted(String from, LeaseGrant grant) {
     if (replica != null) {
       replica.answered(from);
       if (grant.update() != null) {
-        learn(grant.update());
+        applyUpdate(grant.update());
       }
     }
-    holder.granted(grant.askedAt(), grant.index());
-    hold();
+    memberLease.granted(grant.askedAt(), grant.index());
+    updateDistributorLease();
   }
 
-  private void learn(StateUpdate update) {
+  private void applyUpdate(StateUpdate update) {
     if (replica.take(update)) {
       learned();
     }
   }
 
-  /** Takes up the lease once the log is known so far. */
-  private void hold() {
-    long until = holder.until(follower.applied());
+  /** Passes the lease to the distributor once the log is known up to the index that the lease requires. */
+  private void updateDistributorLease() {
+    long until = memberLease.until(replicatedState.applied());
     if (until > clock.getAsLong()) {
       distributor.lease(until);
     }
   }
 
-  /** Grants a lease where a majority confirms, after the request, that this controller leads. */
-  private void grant(String asker, LeaseRequest request) {
+  /** Grants a lease if a quorum confirms, after the request, that this controller is the leader. */
+  private void onLeaseRequest(String requester, LeaseRequest request) {
     int term = member.term();
-    if (!leads() || granterTerm != term) {
-      peers.send(asker, new Redirect(member.leader() == null || leads() ? null : member.leader().name()));
+    if (!leads() || leaderTerm != term) {
+      peers.send(requester, new Redirect(member.leader() == null || leads() ? null : member.leader().name()));
       return;
     }
     if (request.replica()) {
-      feed.knows(asker, request);
+      feed.knows(requester, request);
     }
     member.confirm().whenComplete((confirmed, fault) -> {
-      boolean stillLeads = fault == null && leads() && member.term() == term;
-      if (stillLeads && granter.grants(asker, clock.getAsLong(), member.rollout())) {
-        StateUpdate update = request.replica() ? update(asker) : null;
-        peers.send(asker, new LeaseGrant(request.askedAt(), confirmed.getCommitIndex(), update));
+      boolean isStillLeader = fault == null && leads() && member.term() == term;
+      if (isStillLeader && leaderLeases.grants(requester, clock.getAsLong(), member.rollout())) {
+        StateUpdate update = request.replica() ? updateFor(requester) : null;
+        peers.send(requester, new LeaseGrant(request.askedAt(), confirmed.getCommitIndex(), update));
       }
     });
   }
 
-  /** A member learns of the log by itself. */
-  private final class MemberFollower implements Follower {
+  /** The replicated state at a member of the group. */
+  private final class MemberState implements Follower {
     @Override
     public String leader() {
       return member.leader() == null ? null : member.leader().name();
--- a/proxy/src/main/java/amberhoist/distribution/controller/Follower.java
+++ b/proxy/src/main/java/amberhoist/distribution/controller/Follower.java
@@ -2,17 +2,17 @@
 
 import amberhoist.distribution.PolicyState;
 
-/** How a controller learns of the group's log. */
+/** The replicated state, as a controller knows it. */
 interface Follower {
-  /** The controller to ask for a lease, or null while none is known. */
+  /** Returns the controller to request a lease from, or null while none is known. */
   String leader();
 
-  /** The index up to which the log is known. */
+  /** Returns the log index up to which the state is known. */
   long applied();
 
-  /** What the log leads to. */
+  /** Returns the state of the policy at that index. */
   PolicyState state();
 
-  /** Whether the log says that this controller has prepared the pending version. */
+  /** Whether, by the log, this controller has prepared the pending version. */
   boolean prepared();
 }
--- a/proxy/src/main/java/amberhoist/distribution/controller/Replica.java
+++ b/proxy/src/main/java/amberhoist/distribution/controller/Replica.java
@@ -9,32 +9,37 @@
 import java.util.zip.DataFormatException;
 
 /**
- * What a controller that is no member of the group knows of its log, as leaders have told it. Each update is a prefix
- * of the one log, so the one with the highest index counts, whoever sent it. It keeps nothing on disk.
+ * The replicated state at a controller that is no member of the group, as updated by leaders. Each update is the state
+ * after a prefix of the one log, so the update with the highest index wins, whichever leader sent it. Nothing is stored
+ * on disk.
  */
 final class Replica implements Follower {
   private final List<String> voters;
-  private int asked;
+  private int voterIndex;
   private String leader;
-  private boolean answered = true;
-  private long applied;
+  private boolean isAnswered = true;
+  private long appliedIndex;
   private PolicyState state = PolicyState.EMPTY;
-  private boolean prepared;
+  private boolean hasPrepared;
 
-  /** A replica that asks these members in turn until one leads. */
+  /**
+   * Creates a replica that asks the voters in turn until one of them is the leader.
+   *
+   * @param first index of the first one asked, modulo their number
+   */
   Replica(List<String> voters, int first) {
     this.voters = List.copyOf(voters);
-    asked = first;
+    voterIndex = first;
   }
 
   @Override
   public String leader() {
-    return leader != null ? leader : voters.get(Math.floorMod(asked, voters.size()));
+    return leader != null ? leader : voters.get(Math.floorMod(voterIndex, voters.size()));
   }
 
   @Override
   public long applied() {
-    return applied;
+    return appliedIndex;
   }
 
   @Override
@@ -44,33 +49,37 @@
 
   @Override
   public boolean prepared() {
-    return prepared;
+    return hasPrepared;
   }
 
-  /** The next request for a lease; where the one before had no answer the next member is asked. */
+  /** Returns the next lease request. It goes to the next voter if the one before was not answered. */
   LeaseRequest request(long now) {
-    if (!answered) {
+    if (!isAnswered) {
       leader = null;
-      asked++;
+      voterIndex++;
     }
-    answered = false;
+    isAnswered = false;
     return new LeaseRequest(now, state.inForce().version(), state.latest(), true);
   }
 
-  void answered(String by) {
-    answered = true;
-    leader = by;
+  /** The leader has answered the request. */
+  void answered(String controller) {
+    isAnswered = true;
+    leader = controller;
   }
 
-  /** The member that was asked does not lead. */
-  void redirected(String to) {
-    answered = to != null && voters.contains(to);
-    leader = answered ? to : null;
+  /** The voter that was asked is not the leader; {@code newLeader} is the leader that it knows of, or null. */
+  void redirected(String newLeader) {
+    isAnswered = newLeader != null && voters.contains(newLeader);
+    leader = isAnswered ? newLeader : null;
   }
 
-  /** Takes an update; whether it led on. One that does not fit what is held is left out; the next request says so. */
+  /**
+   * Applies an update. Returns false if it is outdated or does not apply to the documents here; then it is ignored, and
+   * the next request names the versions that this replica has.
+   */
   boolean take(StateUpdate update) {
-    if (update.index() <= applied) {
+    if (update.index() <= appliedIndex) {
       return false;
     }
     Document inForce = document(update.inForce(), update.toInForce(), state.inForce());
@@ -78,26 +87,27 @@
     if (inForce == null || update.pending() && pending == null) {
       return false;
     }
-    applied = update.index();
+    appliedIndex = update.index();
     state = new PolicyState(inForce, update.latest(), pending);
-    prepared = update.prepared();
+    hasPrepared = update.prepared();
     return true;
   }
 
-  /** The document of this version: one that is held, or where the transfer leads from this base. */
+  /** Returns the document of this version, from the transfer if there is one; null if it is missing or invalid. */
   private Document document(long version, Transfer transfer, Document base) {
     if (transfer == null) {
-      return held(version);
+      return findDocument(version);
     }
     try {
       Document document = base == null ? null : transfer.apply(base);
       return document != null && document.checksum() == transfer.checksum() ? document : null;
-    } catch (DataFormatException unfit) {
+    } catch (DataFormatException invalid) {
       return null;
     }
   }
 
-  private Document held(long version) {
+  /** Returns the document of this version if the replica has it, otherwise null. */
+  private Document findDocument(long version) {
     if (state.isPending(version)) {
       return state.pending();
     }
--- a/proxy/src/main/java/amberhoist/distribution/controller/ReplicaFeed.java
+++ b/proxy/src/main/java/amberhoist/distribution/controller/ReplicaFeed.java
@@ -9,31 +9,31 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What a leader tells replicas: the difference from what each said that it holds. */
+/** Creates the updates that a leader sends to replicas, as deltas from the versions that each has. */
 final class ReplicaFeed {
-  private record Known(long inForce, long latest) {}
+  private record HeldVersions(long inForce, long latest) {}
 
-  private final Map<String, Known> replicas = new HashMap<>();
+  private final Map<String, HeldVersions> replicas = new HashMap<>();
   private final Transfers transfers = new Transfers();
 
-  /** A replica has said what it holds. */
+  /** Notes the versions that a replica names in its request. */
   void knows(String replica, LeaseRequest request) {
-    replicas.put(replica, new Known(request.inForce(), request.latest()));
+    replicas.put(replica, new HeldVersions(request.inForce(), request.latest()));
   }
 
-  /** The replicas that have asked so far. */
+  /** Returns the replicas that have requested a lease so far. */
   Set<String> replicas() {
     return replicas.keySet();
   }
 
-  /** The update that leads a replica to this state, which the log has at this index. */
+  /** Returns the update of a replica to this state, which is that of the log at {@code index}. */
   StateUpdate update(String replica, long index, PolicyState state, boolean prepared) {
     transfers.keep(state.inForce());
-    Known known = replicas.get(replica);
+    HeldVersions heldVersions = replicas.get(replica);
     long inForce = state.inForce().version();
-    boolean holdsInForce = inForce == known.inForce() || inForce == known.latest();
-    boolean holdsPending = state.isPending(known.latest());
-    Transfer toInForce = holdsInForce ? null : transfers.to(state.inForce(), known.inForce());
+    boolean holdsInForce = inForce == heldVersions.inForce() || inForce == heldVersions.latest();
+    boolean holdsPending = state.isPending(heldVersions.latest());
+    Transfer toInForce = holdsInForce ? null : transfers.to(state.inForce(), heldVersions.inForce());
     Transfer toPending = state.pending() == null || holdsPending ? null : transfers.to(state.pending(), inForce);
     return new StateUpdate(index, inForce, state.latest(), state.pending() != null, toInForce, toPending, prepared);
   }
--- a/proxy/src/main/java/amberhoist/distribution/wire/MessageCodec.java
+++ b/proxy/src/main/java/amberhoist/distribution/wire/MessageCodec.java
@@ -13,15 +13,15 @@
 import com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper;
 import java.io.IOException;
 
-/** Encodes and decodes {@link Message}s. It may be used by any thread. */
+/** Encodes and decodes {@link Message}s. Thread-safe. */
 public final class MessageCodec {
-  /** The most bytes of a message; a longer one is refused unread. */
+  /** Max. length of a message in bytes; a longer one is rejected before it is parsed. */
   public static final int LONGEST = 16 << 10;
 
-  private static final int DEEPEST = 4;
-  private static final int LONGEST_TEXT = 1 << 10;
+  private static final int MAX_NESTING_DEPTH = 4;
+  private static final int MAX_STRING_LENGTH = 1 << 10;
 
-  /** Names the kinds of messages on the wire. */
+  /** Names the types of messages on the wire. */
   @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
   @JsonSubTypes({
       @JsonSubTypes.Type(value = Message.Renew.class, name = "renew"),
@@ -34,9 +34,9 @@
       @JsonSubTypes.Type(value = Message.Offer.class, name = "offer"),
       @JsonSubTypes.Type(value = Message.Chunk.class, name = "chunk"),
       @JsonSubTypes.Type(value = Message.Granted.class, name = "granted")})
-  private interface Kinds {}
+  private interface MessageTypes {}
 
-  /** A message that cannot be understood; its sender is to be disconnected. */
+  /** Thrown for an invalid message; the connection to its sender must be closed. */
   public static final class MalformedMessageException extends IOException {
     private static final long serialVersionUID = 1;
 
@@ -48,11 +48,11 @@
   private final ObjectReader reader;
   private final ObjectWriter writer;
 
-  /** A codec. */
+  /** Creates a codec. */
   public MessageCodec() {
     CBORFactory factory = CBORFactory.builder().streamReadConstraints(StreamReadConstraints.builder()
-        .maxNestingDepth(DEEPEST).maxStringLength(LONGEST_TEXT).build()).build();
-    ObjectMapper mapper = CBORMapper.builder(factory).addMixIn(Message.class, Kinds.class)
+        .maxNestingDepth(MAX_NESTING_DEPTH).maxStringLength(MAX_STRING_LENGTH).build()).build();
+    ObjectMapper mapper = CBORMapper.builder(factory).addMixIn(Message.class, MessageTypes.class)
         .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES)
         .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
         .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
@@ -60,7 +60,7 @@
     writer = mapper.writerFor(Message.class);
   }
 
-  /** The message as bytes. */
+  /** Encodes a message. */
   public byte[] encode(Message message) {
     try {
       return writer.writeValueAsBytes(message);
@@ -70,24 +70,24 @@
   }
 
   /**
-   * The message of these bytes.
+   * Decodes a message.
    *
-   * @throws MalformedMessageException when they are none, or too many
+   * @throws MalformedMessageException when the bytes are no message, or more than the limit
    */
   public Message decode(byte[] bytes) throws MalformedMessageException {
     if (bytes.length > LONGEST) {
-      throw new MalformedMessageException("a message of " + bytes.length + " bytes", null);
+      throw new MalformedMessageException("message of " + bytes.length + " bytes exceeds the limit", null);
     }
     try {
       Message message = reader.readValue(bytes);
       if (message == null) {
-        throw new MalformedMessageException("an empty message", null);
+        throw new MalformedMessageException("empty message", null);
       }
       return message;
     } catch (MalformedMessageException malformed) {
       throw malformed;
-    } catch (IOException | IllegalArgumentException fault) {
-      throw new MalformedMessageException("not a message: " + fault.getClass().getSimpleName(), fault);
+    } catch (IOException | IllegalArgumentException exception) {
+      throw new MalformedMessageException("invalid message: " + exception.getClass().getSimpleName(), exception);
     }
   }
 }
--- a/proxy/src/main/java/amberhoist/distribution/wire/package-info.java
+++ b/proxy/src/main/java/amberhoist/distribution/wire/package-info.java
@@ -1,2 +1,2 @@
-/** Messages of the distribution as bytes: CBOR by Jackson, bounded in length. */
+/** Encoding of the distribution's messages: CBOR by Jackson, bounded in length. */
 package amberhoist.distribution.wire;
--- a/proxy/src/test/java/amberhoist/distribution/controller/ReplicaTest.java
+++ b/proxy/src/test/java/amberhoist/distribution/controller/ReplicaTest.java
@@ -28,27 +28,27 @@
   }
 
   @Test
-  void updatesLeadThroughAChange() {
+  void appliesUpdatesOfAChange() {
     assertTrue(replica.take(update(1, IN_FORCE)));
     assertTrue(replica.take(update(2, PENDING)));
     assertArrayEquals(SECOND.bytes(), replica.state().pending().bytes());
     StateUpdate concluded = update(3, CONCLUDED);
-    assertEquals(null, concluded.toInForce(), "what was pending is held already");
+    assertEquals(null, concluded.toInForce(), "the replica has the pending document already");
     assertTrue(replica.take(concluded));
     assertEquals(2, replica.state().inForce().version());
     assertEquals(null, replica.state().pending());
   }
 
   @Test
-  void oneThatWasAwayIsLedOnAtOnce() {
+  void newReplicaCatchesUpWithOneUpdate() {
     assertTrue(replica.take(update(9, PENDING)));
     assertEquals(1, replica.state().inForce().version());
     assertEquals(2, replica.state().latest());
   }
 
-  /** Guards against a leader that was put off, and against messages that overtake each other. */
+  /** Updates arrive out of order when messages are reordered, or when a former leader was paused while sending. */
   @Test
-  void anOlderUpdateIsLeftOut() {
+  void ignoresOlderUpdate() {
     StateUpdate older = update(1, IN_FORCE);
     assertTrue(replica.take(update(5, CONCLUDED)));
     assertFalse(replica.take(older));
@@ -57,19 +57,20 @@
   }
 
   @Test
-  void anUpdateThatDoesNotFitIsLeftOutAndTheNextRequestSaysWhatIsHeld() {
+  void ignoresUpdateWithoutItsBaseAndRequestsFromWhatItHas() {
     replica.take(update(1, IN_FORCE));
     StateUpdate pending = update(2, PENDING);
-    StateUpdate concluded = new StateUpdate(3, 2, 2, false, null, null, false); // as for one that took the one before
+    // as sent to a replica that has applied the update before
+    StateUpdate concluded = new StateUpdate(3, 2, 2, false, null, null, false);
     assertFalse(replica.take(concluded));
-    assertEquals(1, replica.applied(), "its lease must not count as known so far");
+    assertEquals(1, replica.applied(), "a lease at index 3 must not be valid yet");
     LeaseRequest request = replica.request(0);
     assertEquals(1, request.latest());
     assertTrue(replica.take(pending));
   }
 
   @Test
-  void votersAreAskedInTurnUntilOneLeads() {
+  void asksVotersInTurnUntilOneIsLeader() {
     replica.request(0);
     assertEquals("a", replica.leader());
     replica.request(0);
@@ -79,9 +80,9 @@
     replica.request(0);
     replica.answered("c");
     replica.request(0);
-    assertEquals("c", replica.leader(), "goes on with who answers");
+    assertEquals("c", replica.leader(), "keeps the leader that answers");
     replica.redirected("nobody");
     replica.request(0);
-    assertTrue(List.of("a", "b", "c").contains(replica.leader()), "never asks who does not vote");
+    assertTrue(List.of("a", "b", "c").contains(replica.leader()), "only voters are asked");
   }
 }
--- a/proxy/src/test/java/amberhoist/distribution/wire/MessageCodecTest.java
+++ b/proxy/src/test/java/amberhoist/distribution/wire/MessageCodecTest.java
@@ -23,7 +23,7 @@
   private final MessageCodec codec = new MessageCodec();
 
   @Test
-  void messagesComeBackAsTheyWere() throws MalformedMessageException {
+  void messagesRoundTrip() throws MalformedMessageException {
     for (Message message : MESSAGES) {
       assertEquals(message, codec.decode(codec.encode(message)));
     }
@@ -34,11 +34,11 @@
     assertTrue(codec.encode(chunk).length < MessageCodec.LONGEST);
   }
 
-  /** Whatever a caller sends ends as a message or as a refusal, never as another fault. */
+  /** Any bytes are decoded as a message or rejected as malformed; nothing else is thrown. */
   @Test
-  void damagedMessagesAreRefusedPlainly() {
+  void corruptMessagesAreRejectedAsMalformed() {
     Random random = new Random(2);
-    int refused = 0;
+    int rejected = 0;
     for (int run = 0; run < 20_000; run++) {
       byte[] bytes = codec.encode(MESSAGES.get(run % MESSAGES.size()));
       for (int i = random.nextInt(4); i >= 0; i--) {
@@ -48,21 +48,21 @@
       try {
         codec.decode(bytes);
       } catch (MalformedMessageException malformed) {
-        refused++;
+        rejected++;
       }
     }
-    assertTrue(refused > 10_000, refused + " refused");
+    assertTrue(rejected > 10_000, rejected + " rejected");
   }
 
   @Test
-  void lengthsThatLieTakeNoMemory() {
-    byte[] lying = codec.encode(new Chunk(8, 7, 5, new byte[8]));
-    int head = lying.length - 1;
-    while (lying[head] != 0x48) { // a string of eight bytes
+  void rejectsExcessiveLengthsWithoutAllocating() {
+    byte[] forged = codec.encode(new Chunk(8, 7, 5, new byte[8]));
+    int head = forged.length - 1;
+    while (forged[head] != 0x48) { // head of a byte string of eight bytes
       head--;
     }
-    System.arraycopy(new byte[] {0x5a, 0x7f, -1, -1, -1}, 0, lying, head, 5); // one of two thousand million
-    assertThrows(MalformedMessageException.class, () -> codec.decode(lying));
+    System.arraycopy(new byte[] {0x5a, 0x7f, -1, -1, -1}, 0, forged, head, 5); // head of one with 2^31 - 1 bytes
+    assertThrows(MalformedMessageException.class, () -> codec.decode(forged));
     assertThrows(MalformedMessageException.class, () -> codec.decode(new byte[MessageCodec.LONGEST + 1]));
     assertThrows(MalformedMessageException.class, () -> codec.decode(new byte[0]));
     byte[] deep = new byte[1000];
