--- a/lab/src/main/java/amberhoist/lab/TryOut.java
+++ b/lab/src/main/java/amberhoist/lab/Demo.java
@@ -1,9 +1,9 @@
 package amberhoist.lab;
 
 import amberhoist.clock.Clock;
-import amberhoist.config.Config.BadConfig;
-import amberhoist.config.Setup;
-import amberhoist.config.Setup.Sources;
+import amberhoist.config.PlatformConfig.InvalidConfigException;
+import amberhoist.config.ProxyConfig;
+import amberhoist.config.ProxyConfig.ConfigSources;
 import amberhoist.log.EventLog;
 import amberhoist.log.LogSettings;
 import amberhoist.service.Service;
@@ -20,48 +20,49 @@
 import java.util.concurrent.TimeUnit;
 
 /** A demo that runs a proxy with stub peers in this process and connects clients through it. */
-final class TryOut implements AutoCloseable {
+final class Demo implements AutoCloseable {
   private static final int TIMEOUT_MILLIS = 10_000;
 
   /**
    * The result of the demo.
    *
-   * @param first provider of the first client
-   * @param second provider of the second client, which connects while the first provider drains
-   * @param sent number of lines that the first client sent
-   * @param returned number of lines that were returned unchanged
+   * @param firstProvider provider of the first client
+   * @param secondProvider provider of the second client, which connects while the first provider drains
+   * @param sentLines number of lines that the first client sent
+   * @param returnedLines number of lines that were returned unchanged
    */
-  record Round(String first, String second, int sent, int returned) {
-    boolean held() {
-      return !first.equals(second) && sent == returned;
+  record DemoResult(String firstProvider, String secondProvider, int sentLines, int returnedLines) {
+    boolean hasSucceeded() {
+      return !firstProvider.equals(secondProvider) && sentLines == returnedLines;
     }
 
-    String verdict() {
-      return (held() ? "It works: " : "It does NOT work: ") + returned + " of " + sent
-          + " lines came back; the client was placed on " + first + ", and on " + second
-          + " once " + first + " drained.";
+    String summary() {
+      return (hasSucceeded() ? "It works: " : "It does NOT work: ") + returnedLines + " of " + sentLines
+          + " lines came back; the client was placed on " + firstProvider + ", and on " + secondProvider
+          + " once " + firstProvider + " drained.";
     }
   }
 
   private final PrintStream out;
-  private final StandInProvider firstProvider;
-  private final StandInProvider secondProvider;
-  private final StandInDirectory directory;
+  private final StubProvider firstProvider;
+  private final StubProvider secondProvider;
+  private final StubDirectory directory;
   private final Service service;
 
-  TryOut(PrintStream out) throws IOException {
+  Demo(PrintStream out) throws IOException {
     this.out = out;
-    firstProvider = new StandInProvider("toy-a", 0, this::printLine);
-    secondProvider = new StandInProvider("toy-b", 0, this::printLine);
-    directory = new StandInDirectory(0, this::printLine);
-    directory.tell(firstProvider.entry("active"), secondProvider.entry("active"));
+    firstProvider = new StubProvider("toy-a", 0, this::printLine);
+    secondProvider = new StubProvider("toy-b", 0, this::printLine);
+    directory = new StubDirectory(0, this::printLine);
+    directory.replaceEntries(firstProvider.directoryEntry("active"), secondProvider.directoryEntry("active"));
     EventLog.selectBackend(LogSettings.Format.TEXT);
     Path platformFile = Files.createTempFile("amberhoist-try", ".json");
     try {
       Files.writeString(platformFile, platformJson());
-      service = Service.start(Setup.load(new Sources(null, Map.of("instance.platform", platformFile.toString()),
+      service = Service.start(ProxyConfig.load(new ConfigSources(null,
+          Map.of("instance.platform", platformFile.toString()),
           Map.of()), new Clock()));
-    } catch (BadConfig fault) {
+    } catch (InvalidConfigException fault) {
       throw new IOException(fault.getMessage(), fault);
     } finally {
       Files.delete(platformFile);
@@ -85,7 +86,7 @@
   }
 
   /** Connects a client, sends lines, drains the client's provider and connects another client. */
-  Round run(int lines) throws IOException {
+  DemoResult run(int lines) throws IOException {
     awaitProviders("ready", 2);
     String assigned;
     int returned = 0;
@@ -98,11 +99,11 @@
       }
     }
     printLine("directory announces that " + assigned + " is draining");
-    directory.tell(firstProvider.entry(assigned.equals(firstProvider.name()) ? "leaving" : "active"),
-        secondProvider.entry(assigned.equals(secondProvider.name()) ? "leaving" : "active"));
+    directory.replaceEntries(firstProvider.directoryEntry(assigned.equals(firstProvider.name()) ? "leaving" : "active"),
+        secondProvider.directoryEntry(assigned.equals(secondProvider.name()) ? "leaving" : "active"));
     awaitProviders("ready", 1);
     try (DemoClient client = new DemoClient()) {
-      return new Round(assigned, client.open(2), lines, returned);
+      return new DemoResult(assigned, client.open(2), lines, returned);
     }
   }
 
@@ -140,7 +141,7 @@
 
     void send(String line) throws IOException {
       printLine("client > " + line);
-      StandIn.send(socket.getOutputStream(), line + "\r\n");
+      StubServer.send(socket.getOutputStream(), line + "\r\n");
     }
 
     String readLine() throws IOException {
--- a/lab/src/main/java/amberhoist/lab/LabCommand.java
+++ b/lab/src/main/java/amberhoist/lab/LabCommand.java
@@ -1,7 +1,7 @@
 package amberhoist.lab;
 
 import amberhoist.directory.Address;
-import amberhoist.lab.TryOut.Round;
+import amberhoist.lab.Demo.DemoResult;
 import amberhoist.lab.experiment.ExperimentFile;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -38,10 +38,10 @@
     if (lines < 1 || lines > 10_000) {
       throw new ParameterException(spec.commandLine(), "--lines: must be between 1 and 10000, but is " + lines);
     }
-    try (TryOut demo = new TryOut(System.out)) {
-      Round result = demo.run(lines);
-      System.out.println(result.verdict());
-      return result.held() ? 0 : 1;
+    try (Demo demo = new Demo(System.out)) {
+      DemoResult result = demo.run(lines);
+      System.out.println(result.summary());
+      return result.hasSucceeded() ? 0 : 1;
     }
   }
 
@@ -54,10 +54,10 @@
       @Option(names = "--providers", paramLabel = "PORT", defaultValue = "3001",
           description = "port of the first provider; the second uses the next port (default: ${DEFAULT-VALUE})")
       int firstProviderPort) throws IOException, InterruptedException {
-    try (StandInProvider firstProvider = new StandInProvider("toy-a", firstProviderPort, System.out::println);
-        StandInProvider secondProvider = new StandInProvider("toy-b", firstProviderPort + 1, System.out::println);
-        StandInDirectory stubDirectory = new StandInDirectory(directoryPort, System.out::println)) {
-      stubDirectory.tell(firstProvider.entry("active"), secondProvider.entry("active"));
+    try (StubProvider firstProvider = new StubProvider("toy-a", firstProviderPort, System.out::println);
+        StubProvider secondProvider = new StubProvider("toy-b", firstProviderPort + 1, System.out::println);
+        StubDirectory stubDirectory = new StubDirectory(directoryPort, System.out::println)) {
+      stubDirectory.replaceEntries(firstProvider.directoryEntry("active"), secondProvider.directoryEntry("active"));
       System.out.println("directory on " + stubDirectory.address() + ", providers on " + firstProvider.address()
           + " and " + secondProvider.address());
       Thread.currentThread().join();
@@ -68,7 +68,7 @@
   /** Prints the reference page of experiment files. */
   @Command(name = "reference", description = "Prints the reference page of experiment files, generated from the code.")
   int printReference() {
-    System.out.print(ExperimentFile.page());
+    System.out.print(ExperimentFile.referencePage());
     return 0;
   }
 
@@ -110,13 +110,13 @@
       throw new ParameterException(spec.commandLine(),
           "--rate must be between 1 and 100000, and --seconds between 1 and 600");
     }
-    Flood flood = new Flood(platform, clientsPerSecond, seconds);
-    System.out.println(Flood.Cost.header());
-    System.out.println(flood.run("errors alone", List.of("log.level=error")).row());
-    System.out.println(flood.run("default, text", List.of()).row());
-    System.out.println(flood.run("default, JSON", List.of("log.format=json")).row());
+    LogFloodBenchmark flood = new LogFloodBenchmark(platform, clientsPerSecond, seconds);
+    System.out.println(LogFloodBenchmark.FloodResult.tableHeader());
+    System.out.println(flood.run("errors alone", List.of("log.level=error")).toTableRow());
+    System.out.println(flood.run("default, text", List.of()).toTableRow());
+    System.out.println(flood.run("default, JSON", List.of("log.format=json")).toTableRow());
     System.out.println(flood.run("no limit, text",
-        List.of("log.rate=10000", "log.burst=100000", "log.queue=1MiB")).row());
+        List.of("log.rate=10000", "log.burst=100000", "log.queue=1MiB")).toTableRow());
     return 0;
   }
 }
--- a/lab/src/main/java/amberhoist/lab/LineClient.java
+++ b/lab/src/main/java/amberhoist/lab/LineClient.java
@@ -48,7 +48,7 @@
 
   private String exchange(Socket socket, BufferedReader in, String line) throws IOException {
     out.println("> " + line);
-    StandIn.send(socket.getOutputStream(), line + "\r\n");
+    StubServer.send(socket.getOutputStream(), line + "\r\n");
     String answer = in.readLine();
     out.println(answer == null ? "connection closed" : "< " + answer);
     return String.valueOf(answer);
--- a/lab/src/main/java/amberhoist/lab/Flood.java
+++ b/lab/src/main/java/amberhoist/lab/LogFloodBenchmark.java
@@ -23,7 +23,7 @@
  * Measures what logging costs under a flood of malformed requests. It starts a proxy process and sends it clients that
  * each connect, send one invalid line and wait for ERR. Arrivals are open-loop: each client has an intended start time.
  */
-final class Flood {
+final class LogFloodBenchmark {
   private static final int CLIENT_THREADS = 6;
   private static final int TIMEOUT_MILLIS = 20_000;
 
@@ -38,14 +38,14 @@
    * @param logBytes bytes written to standard error
    * @param suppressedLines log lines suppressed by the rate limit
    */
-  record Cost(String logSettings, int answeredClients, double seconds, double cpuSeconds, long logLines,
+  record FloodResult(String logSettings, int answeredClients, double seconds, double cpuSeconds, long logLines,
       long logBytes, long suppressedLines) {
-    static String header() {
+    static String tableHeader() {
       return "| log | clients | clients/s | CPU s | CPU us/client | log lines | log bytes | suppressed |\n"
           + "| --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: |";
     }
 
-    String row() {
+    String toTableRow() {
       return String.format("| %s | %d | %.0f | %.2f | %.1f | %d | %d | %d |", logSettings, answeredClients,
           answeredClients / seconds, cpuSeconds, 1e6 * cpuSeconds / Math.max(1, answeredClients), logLines, logBytes,
           suppressedLines);
@@ -63,7 +63,7 @@
    * @param clientsPerSecond rate of clients
    * @param seconds duration of each run
    */
-  Flood(Path platformFile, int clientsPerSecond, int seconds) {
+  LogFloodBenchmark(Path platformFile, int clientsPerSecond, int seconds) {
     this.platformFile = platformFile;
     this.clientsPerSecond = clientsPerSecond;
     clientsPerRun = clientsPerSecond * seconds;
@@ -75,7 +75,7 @@
    * @param logSettings name of the log settings, for the report
    * @param settings settings of the proxy, each as {@code key=value}
    */
-  Cost run(String logSettings, List<String> settings) throws IOException, InterruptedException {
+  FloodResult run(String logSettings, List<String> settings) throws IOException, InterruptedException {
     Path folder = Files.createTempDirectory("amberhoist-flood");
     Path socket = folder.resolve("admin.sock");
     List<String> command = new ArrayList<>(List.of(
@@ -102,7 +102,7 @@
       double seconds = (System.nanoTime() - start) / 1e9;
       Duration cpuAfter = process.info().totalCpuDuration().orElse(Duration.ZERO);
       long suppressed = awaitStatus(process, socket).path("log").path("suppressed").asLong();
-      return new Cost(logSettings, answered, seconds, cpuAfter.minus(cpuBefore).toNanos() / 1e9,
+      return new FloodResult(logSettings, answered, seconds, cpuAfter.minus(cpuBefore).toNanos() / 1e9,
           logLines.get() - linesBefore, logBytes.get() - bytesBefore, suppressed);
     } finally {
       process.destroyForcibly();
--- a/lab/src/main/java/amberhoist/lab/SlopeCommand.java
+++ b/lab/src/main/java/amberhoist/lab/SlopeCommand.java
@@ -1,7 +1,7 @@
 package amberhoist.lab;
 
-import amberhoist.lab.slope.Fit;
-import amberhoist.lab.slope.Fit.Point;
+import amberhoist.lab.slope.LinearFit;
+import amberhoist.lab.slope.LinearFit.Point;
 import amberhoist.lab.slope.Measurement;
 import java.util.ArrayList;
 import java.util.List;
@@ -49,10 +49,10 @@
       points.add(new Point(size, value));
       pointsText.append(pointsText.isEmpty() ? "" : ", ").append(size).append(": ").append(format(value));
     }
-    Fit fit = Fit.through(points);
+    LinearFit fit = LinearFit.leastSquares(points);
     System.out.printf(Locale.ROOT, "| %s, %s | %s | %s | %s | %s | %s | %.3f |%n",
-        measurement.name().toLowerCase(Locale.ROOT), measurement.value(), measurement.unit(), pointsText,
-        format(fit.intercept()), format(fit.slope()), format(fit.halfWidth()), fit.explained());
+        measurement.name().toLowerCase(Locale.ROOT), measurement.quantity(), measurement.sizeUnit(), pointsText,
+        format(fit.intercept()), format(fit.slope()), format(fit.slopeHalfWidth()), fit.rSquared());
   }
 
   private static String format(double value) {
--- a/lab/src/main/java/amberhoist/lab/StandInDirectory.java
+++ b/lab/src/main/java/amberhoist/lab/StubDirectory.java
@@ -6,28 +6,28 @@
 import java.util.function.Consumer;
 
 /** A stub directory that sends every watch the full list of providers, first at once and then after each change. */
-final class StandInDirectory extends StandIn {
+final class StubDirectory extends StubServer {
   private static final long KEEP_ALIVE_MILLIS = 2000; // between empty lines
 
   private final Consumer<String> log;
   private int index;
   private String snapshot = "";
 
-  StandInDirectory(int port, Consumer<String> log) throws IOException {
+  StubDirectory(int port, Consumer<String> log) throws IOException {
     super(port);
     this.log = log;
-    serve("directory");
+    acceptConnections("directory");
   }
 
   /** Replaces the list and sends it to all watches. Each entry is a JSON object of one provider. */
-  synchronized void tell(String... entries) {
+  synchronized void replaceEntries(String... entries) {
     index++;
     snapshot = "{\"index\":" + index + ",\"snapshot\":true,\"endpoints\":[" + String.join(",", entries) + "]}";
     notifyAll();
   }
 
   @Override
-  void talk(BufferedReader in, OutputStream out) throws IOException, InterruptedException {
+  void handleConnection(BufferedReader in, OutputStream out) throws IOException, InterruptedException {
     log.accept("directory < " + in.readLine());
     for (String header = in.readLine(); header != null && !header.isEmpty(); header = in.readLine()) {
       // headers are ignored
--- a/lab/src/main/java/amberhoist/lab/StandInProvider.java
+++ b/lab/src/main/java/amberhoist/lab/StubProvider.java
@@ -6,15 +6,15 @@
 import java.util.function.Consumer;
 
 /** A stub provider that answers UP to each open request and echoes all other lines. */
-final class StandInProvider extends StandIn {
+final class StubProvider extends StubServer {
   private final String name;
   private final Consumer<String> log;
 
-  StandInProvider(String name, int port, Consumer<String> log) throws IOException {
+  StubProvider(String name, int port, Consumer<String> log) throws IOException {
     super(port);
     this.name = name;
     this.log = log;
-    serve(name);
+    acceptConnections(name);
   }
 
   String name() {
@@ -22,13 +22,13 @@
   }
 
   /** Returns its directory entry, a JSON object, with this status. */
-  String entry(String status) {
+  String directoryEntry(String status) {
     return "{\"name\":\"" + name + "\",\"address\":\"" + address() + "\",\"zone\":\"here\",\"type\":\"toy\","
         + "\"group\":0,\"status\":\"" + status + "\",\"weight\":1.0,\"since_ms\":0}";
   }
 
   @Override
-  void talk(BufferedReader in, OutputStream out) throws IOException {
+  void handleConnection(BufferedReader in, OutputStream out) throws IOException {
     String line = in.readLine();
     if (line == null) {
       return;
--- a/lab/src/main/java/amberhoist/lab/StandIn.java
+++ b/lab/src/main/java/amberhoist/lab/StubServer.java
@@ -12,23 +12,23 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /** A stub server on loopback with one thread per connection, for a small number of peers. */
-abstract class StandIn implements AutoCloseable {
+abstract class StubServer implements AutoCloseable {
   private final ServerSocket server;
   private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
 
-  /** Listens on this loopback port, or on any free one if it is 0. Accepts only after {@link #serve}. */
-  StandIn(int port) throws IOException {
+  /** Listens on this loopback port, or on any free one if it is 0. Accepts only after {@link #acceptConnections}. */
+  StubServer(int port) throws IOException {
     server = new ServerSocket(port, 64, InetAddress.getLoopbackAddress());
   }
 
   /** Starts to accept connections. Each subclass calls it once, at the end of its constructor. */
-  final void serve(String name) {
+  final void acceptConnections(String name) {
     startDaemon(name, () -> {
       while (!server.isClosed()) {
         try {
           Socket socket = server.accept();
           connections.add(socket);
-          startDaemon(name, () -> talk(socket));
+          startDaemon(name, () -> handleConnection(socket));
         } catch (IOException closed) {
           return; // the server was closed
         }
@@ -42,12 +42,12 @@
     thread.start();
   }
 
-  private void talk(Socket socket) {
+  private void handleConnection(Socket socket) {
     try (socket) {
       socket.setTcpNoDelay(true);
       BufferedReader in = new BufferedReader(
           new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
-      talk(in, socket.getOutputStream());
+      handleConnection(in, socket.getOutputStream());
     } catch (IOException | InterruptedException ended) {
       // the peer closed the connection, or the server was closed
     } finally {
@@ -56,7 +56,7 @@
   }
 
   /** Handles one connection until either side closes it. */
-  abstract void talk(BufferedReader in, OutputStream out) throws IOException, InterruptedException;
+  abstract void handleConnection(BufferedReader in, OutputStream out) throws IOException, InterruptedException;
 
   static void send(OutputStream out, String text) throws IOException {
     out.write(text.getBytes(StandardCharsets.ISO_8859_1));
--- a/lab/src/main/java/amberhoist/lab/emulator/Trace.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/EventHash.java
@@ -5,7 +5,7 @@
 import java.util.zip.CRC32C;
 
 /** A 64-bit hash of the event log, to compare runs: equal for runs with the same events at the same times. */
-public final class Trace {
+public final class EventHash {
   private final ByteBuffer record = ByteBuffer.allocate(32);
   private final CRC32 crc32 = new CRC32();
   private final CRC32C crc32c = new CRC32C();
--- a/lab/src/main/java/amberhoist/lab/emulator/MonotonicClock.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/VirtualClock.java
@@ -6,13 +6,13 @@
 import java.time.ZoneOffset;
 
 /** A {@link Clock} that reads the virtual time, in milliseconds; its zone is always UTC. */
-public final class MonotonicClock extends Clock {
+public final class VirtualClock extends Clock {
   private static final long MICROS_PER_MILLI = 1_000;
 
   private final VirtualTime time;
 
   /** Creates a clock over this virtual time. */
-  public MonotonicClock(VirtualTime time) {
+  public VirtualClock(VirtualTime time) {
     this.time = time;
   }
 
--- a/lab/src/main/java/amberhoist/lab/experiment/Experiment.java
+++ b/lab/src/main/java/amberhoist/lab/experiment/Experiment.java
@@ -15,8 +15,9 @@
     Duration quick,
     @Setting(value = "Seeds; --seeds N uses the first N, continued upwards from the last one.", min = "0",
         max = "2000000000") List<Integer> seeds,
-    Fleet fleet, Load load, Clients clients, Network network, Store store, Directory directory, List<Kind> kinds,
-    List<Type> classes, List<Tenant> tenants, List<Fault> faults, List<Variant> variants, List<Claim> claims) {
+    Fleet fleet, Load load, Clients clients, Network network, Store store, Directory directory, List<MachineKind> kinds,
+    List<ConnectionClass> classes, List<Tenant> tenants, List<Fault> faults, List<Variant> variants,
+    List<Claim> claims) {
 
   /** Number and location of providers and proxies. */
   @Setting("Number and location of providers and proxies.")
@@ -91,7 +92,7 @@
 
   /** A kind of machine. */
   @Setting("A kind of machine.")
-  public record Kind(
+  public record MachineKind(
       @Setting("Name.") String name,
       @Setting(value = "Share of the providers, relative to the other kinds' shares.", min = "0", max = "1000000")
       double share,
@@ -109,8 +110,8 @@
       @Setting("Connections that it drops while its backlog is too long: its `newest` or its `heaviest`.")
       Shed sheds) {
     /** Defaults of a kind of machine. */
-    public static final Kind DEFAULT =
-        new Kind("std", 1, 2, 1, 0.1, 0.2, Duration.ofSeconds(15), 750, 400, 0.001, false, Shed.NEWEST);
+    public static final MachineKind DEFAULT =
+        new MachineKind("std", 1, 2, 1, 0.1, 0.2, Duration.ofSeconds(15), 750, 400, 0.001, false, Shed.NEWEST);
   }
 
   /** Which connections an overloaded provider drops first. */
@@ -118,7 +119,7 @@
 
   /** A class of connections. */
   @Setting("A class of connections.")
-  public record Type(
+  public record ConnectionClass(
       @Setting("Name.") String name,
       @Setting(value = "Share of the clients, relative to the other classes' shares.", min = "0", max = "1000000")
       double share,
@@ -136,7 +137,8 @@
       @Setting(value = "Mean time between changes of a connection's load.", min = "100ms", max = "10m") Duration change,
       @Setting(value = "Mean time for which a client wants a connection.", min = "1s", max = "10h") Duration life) {
     /** Defaults of a class. */
-    public static final Type DEFAULT = new Type("scan-tiles", 1, 2, Duration.ofMillis(300), Duration.ofMillis(1200),
+    public static final ConnectionClass DEFAULT =
+        new ConnectionClass("scan-tiles", 1, 2, Duration.ofMillis(300), Duration.ofMillis(1200),
         Duration.ofMillis(100), Duration.ofMillis(5), Duration.ofMillis(8), Duration.ofMillis(30), 1.2, 0.5,
         Duration.ofSeconds(10), Duration.ofSeconds(100));
   }
@@ -208,13 +210,14 @@
       new Network(Duration.ofNanos(240_000), Duration.ofMillis(15), Duration.ofNanos(500_000), 0.2, 2),
       new Store(0, Duration.ofMillis(10)),
       new Directory(Duration.ofMillis(800), Duration.ofSeconds(4), Duration.ofSeconds(8)),
-      List.of(Kind.DEFAULT), List.of(Type.DEFAULT), List.of(Tenant.DEFAULT), List.of(), List.of(Variant.DEFAULT),
+      List.of(MachineKind.DEFAULT), List.of(ConnectionClass.DEFAULT), List.of(Tenant.DEFAULT), List.of(),
+      List.of(Variant.DEFAULT),
       List.of());
 
   /** Returns this experiment with other faults. */
-  public Experiment with(List<Fault> others) {
+  public Experiment withFaults(List<Fault> newFaults) {
     return new Experiment(name, title, length, warmup, quick, seeds, fleet, load, clients, network, store, directory,
-        kinds, classes, tenants, List.copyOf(others), variants, claims);
+        kinds, classes, tenants, List.copyOf(newFaults), variants, claims);
   }
 
   /** The length of a run, or the short length, if there is one, when {@code quickly}. */
--- a/lab/src/main/java/amberhoist/lab/group/Defects.java
+++ b/lab/src/main/java/amberhoist/lab/group/GroupMutations.java
@@ -1,26 +1,26 @@
 package amberhoist.lab.group;
 
-import amberhoist.group.Disk;
-import amberhoist.rollout.Sequence;
+import amberhoist.group.LogStorage;
+import amberhoist.rollout.PolicyVersions;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.List;
 
 /** Creates the disks and sequences of members, with the defects of {@link GroupMutant} built in. */
-final class Defects {
+final class GroupMutations {
   private static final int VOTE_FRAME_KIND = 3; // kind of the frames that hold term and vote
   private static final int FRAME_HEADER_BYTES = 9;
   private static final int FRAME_CHECKSUM_BYTES = 4;
 
-  private Defects() {}
+  private GroupMutations() {}
 
   /**
    * Returns the disk that a member starts with.
    *
    * @param contentsAtStarts the disk's contents at each start so far, this one included
    */
-  static Disk disk(GroupMutant mutant, EmulatedDisk disk, List<byte[]> contentsAtStarts) {
+  static LogStorage diskAtStart(GroupMutant mutant, EmulatedDisk disk, List<byte[]> contentsAtStarts) {
     if (mutant == GroupMutant.FORGETS_ON_RESTART && contentsAtStarts.size() > 1) {
       disk.replace(new byte[0]);
     } else if (mutant == GroupMutant.TAKES_OLD_COPY && contentsAtStarts.size() > 2) {
@@ -30,31 +30,32 @@
   }
 
   /** Returns the sequence of changes that a member starts with. */
-  static Sequence sequence(GroupMutant mutant) {
+  static PolicyVersions newSequence(GroupMutant mutant) {
     return switch (mutant) {
-      case TAKES_TWICE -> new Sequence() {
+      case TAKES_TWICE -> new PolicyVersions() {
         private int taken;
 
         @Override
-        public Verdict take(Change change, boolean welcome) {
-          return super.take(new Change(change.id() + '#' + taken++, change.base(), change.document()), welcome);
+        public ChangeResult apply(PolicyChange change, boolean welcome) {
+          return super.apply(new PolicyChange(change.id() + '#' + taken++, change.baseVersion(), change.document()),
+              welcome);
         }
       };
-      case IGNORES_BASE -> new Sequence() {
+      case IGNORES_BASE -> new PolicyVersions() {
         @Override
-        public Verdict take(Change change, boolean welcome) {
-          return super.take(new Change(change.id(), version(), change.document()), welcome);
+        public ChangeResult apply(PolicyChange change, boolean welcome) {
+          return super.apply(new PolicyChange(change.id(), version(), change.document()), welcome);
         }
       };
-      default -> new Sequence();
+      default -> new PolicyVersions();
     };
   }
 
   /** Drops the frames that hold votes. */
-  private record VoteDroppingDisk(EmulatedDisk disk) implements Disk {
+  private record VoteDroppingDisk(EmulatedDisk disk) implements LogStorage {
     @Override
-    public byte[] read() {
-      return disk.read();
+    public byte[] readAll() {
+      return disk.readAll();
     }
 
     private static byte[] withoutVotes(byte[] bytes) {
--- a/lab/src/main/java/amberhoist/lab/run/Charts.java
+++ b/lab/src/main/java/amberhoist/lab/run/Charts.java
@@ -1,7 +1,7 @@
 package amberhoist.lab.run;
 
 import amberhoist.lab.experiment.Experiment.Fault;
-import amberhoist.lab.run.Runs.Run;
+import amberhoist.lab.run.ExperimentRuns.Run;
 import java.awt.Color;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -24,7 +24,7 @@
 
   private Charts() {}
 
-  static void timeLine(Runs runs, Path png) throws IOException {
+  static void drawService(ExperimentRuns runs, Path png) throws IOException {
     XYChart chart = new XYChartBuilder().width(900).height(420).title(runs.experiment().name() + ": service")
         .xAxisTitle("seconds").yAxisTitle("answered in time over wanted").build();
     chart.getStyler().setLegendPosition(LegendPosition.OutsideS);
@@ -57,10 +57,10 @@
 
   /** Mean service in each second, capped at 1.1 in each run. */
   private static double[] mean(List<Run> runs) {
-    double[] mean = new double[runs.get(0).outcome().serviceBySecond().length - 1];
+    double[] mean = new double[runs.get(0).result().serviceBySecond().length - 1];
     for (Run run : runs) {
       for (int i = 0; i < mean.length; i++) {
-        mean[i] += Math.min(1.1, run.outcome().serviceBySecond()[i]) / runs.size();
+        mean[i] += Math.min(1.1, run.result().serviceBySecond()[i]) / runs.size();
       }
     }
     return mean;
