--- a/lab/src/main/java/amberhoist/lab/scale/Topology.java
+++ b/lab/src/main/java/amberhoist/lab/scale/Topology.java
@@ -33,7 +33,7 @@
   }
 
   /** One-way delay in microseconds from one zone to another, without jitter. */
-  long delay(int fromZone, int toZone) {
+  long delayMicros(int fromZone, int toZone) {
     int from = regionOfZone(fromZone);
     int to = regionOfZone(toZone);
     if (from == to) {
--- a/lab/src/main/java/amberhoist/lab/slope/Measurement.java
+++ b/lab/src/main/java/amberhoist/lab/slope/Measurement.java
@@ -13,18 +13,18 @@
   /** Time to place a connection, by number of providers. */
   PLACEMENT("providers", "us a placement", 30, 100, 300, 1000, 3000) {
     @Override
-    double once(int size) {
-      ModuleBench bench = new ModuleBench(size, GROUPS, false);
+    double measureOnce(int size) {
+      ModuleBenchmark bench = new ModuleBenchmark(size, GROUPS, false);
       return measurePlacements(bench);
     }
   },
   /** Time to place a connection, by number of groups. */
   GROUPS_KNOWN("groups", "us a placement", 10, 100, 1000, 10_000) {
     @Override
-    double once(int size) {
-      ModuleBench bench = new ModuleBench(PROVIDERS, size, false);
+    double measureOnce(int size) {
+      ModuleBenchmark bench = new ModuleBenchmark(PROVIDERS, size, false);
       for (int i = 0; i < size; i++) {
-        bench.place(); // computes the provider order of each group, which is done once
+        bench.placeConnection(); // computes the provider order of each group, which is done once
       }
       return measurePlacements(bench);
     }
@@ -32,44 +32,44 @@
   /** Memory that the decision module keeps for groups, with 300 providers. */
   GROUPS_MEMORY("groups", "KB", 10_000, 20_000, 50_000, 100_000) {
     @Override
-    double once(int size) {
-      ModuleBench bench = new ModuleBench(PROVIDERS, size, false);
-      bench.place();
+    double measureOnce(int size) {
+      ModuleBenchmark bench = new ModuleBenchmark(PROVIDERS, size, false);
+      bench.placeConnection();
       long before = usedHeapBytes();
       for (int i = 0; i < size; i++) {
-        bench.place();
+        bench.placeConnection();
       }
       long after = usedHeapBytes();
-      bench.second(); // keeps the module reachable until here
+      bench.advanceOneSecond(); // keeps the module reachable until here
       return (after - before) / 1024.0;
     }
   },
   /** Time that the decision module's timers take, by number of established connections. */
   STANDING("connections", "ms a second", 100, 1000, 10_000, 88_400) {
     @Override
-    double once(int size) {
-      ModuleBench bench = new ModuleBench(PROVIDERS, GROUPS, false);
+    double measureOnce(int size) {
+      ModuleBenchmark bench = new ModuleBenchmark(PROVIDERS, GROUPS, false);
       for (int i = 0; i < size; i++) {
-        bench.stand(i % PROVIDERS);
+        bench.handOverConnection(i % PROVIDERS);
       }
-      bench.second();
+      bench.advanceOneSecond();
       long before = System.nanoTime();
-      bench.second();
+      bench.advanceOneSecond();
       return (System.nanoTime() - before) / NANOS_PER_MILLI;
     }
   },
   /** Time to handle a load report of a provider that is not overloaded, by number of established connections. */
   REPORT("connections", "us a report", 100, 1000, 10_000, 88_400) {
     @Override
-    double once(int size) {
-      ModuleBench bench = new ModuleBench(PROVIDERS, GROUPS, true);
+    double measureOnce(int size) {
+      ModuleBenchmark bench = new ModuleBenchmark(PROVIDERS, GROUPS, true);
       for (int i = 0; i < size; i++) {
-        bench.stand(i % PROVIDERS);
+        bench.handOverConnection(i % PROVIDERS);
       }
       int reports = 20;
       long before = System.nanoTime();
       for (int i = 0; i < reports; i++) {
-        bench.report(i, 0.5);
+        bench.reportLoad(i, 0.5);
       }
       return (System.nanoTime() - before) / NANOS_PER_MICRO / reports;
     }
@@ -77,9 +77,9 @@
   /** Resident memory of a proxy process, by number of established connections. */
   RELAY_MEMORY("connections", "KB", 100, 300, 1000, 3000, 6000) {
     @Override
-    double once(int size) {
-      try (RelayBench bench = new RelayBench(size)) {
-        bench.connect(size);
+    double measureOnce(int size) {
+      try (RelayBenchmark bench = new RelayBenchmark(size)) {
+        bench.openConnections(size);
         return bench.residentKb();
       } catch (IOException fault) {
         throw new UncheckedIOException(fault);
@@ -89,11 +89,11 @@
   /** Processor time of a proxy process for lines of 64 bytes and their echoes, over 1,000 connections. */
   RELAY_LINES("lines", "ms", 10_000, 30_000, 100_000, 300_000) {
     @Override
-    double once(int size) {
-      try (RelayBench bench = new RelayBench(1000)) {
-        bench.connect(1000);
+    double measureOnce(int size) {
+      try (RelayBenchmark bench = new RelayBenchmark(1000)) {
+        bench.openConnections(1000);
         double before = bench.processorMicros();
-        bench.lines(size);
+        bench.echoLines(size);
         return (bench.processorMicros() - before) / NANOS_PER_MICRO;
       } catch (IOException fault) {
         throw new UncheckedIOException(fault);
@@ -103,7 +103,7 @@
   /** Time to parse a full list of the directory. */
   LIST("providers", "us a list", 30, 100, 300, 1000, 3000) {
     @Override
-    double once(int size) {
+    double measureOnce(int size) {
       byte[] list = directoryListJson(size);
       long before = System.nanoTime();
       try {
@@ -119,7 +119,7 @@
   /** Size of a full list of the directory. */
   LIST_BYTES("providers", "bytes a list", 30, 100, 300, 1000, 3000) {
     @Override
-    double once(int size) {
+    double measureOnce(int size) {
       return directoryListJson(size).length;
     }
   };
@@ -130,26 +130,26 @@
   private static final double NANOS_PER_MICRO = 1e3;
   private static final double NANOS_PER_MILLI = 1e6;
 
-  private final String unit;
-  private final String value;
+  private final String sizeUnit;
+  private final String quantity;
   private final int[] sizes;
 
   Measurement(String unit, String value, int... sizes) {
-    this.unit = unit;
-    this.value = value;
+    this.sizeUnit = unit;
+    this.quantity = value;
     this.sizes = sizes;
   }
 
-  abstract double once(int size);
+  abstract double measureOnce(int size);
 
   /** What the size counts, such as providers. */
-  public String unit() {
-    return unit;
+  public String sizeUnit() {
+    return sizeUnit;
   }
 
   /** The measured quantity and its unit, in words. */
-  public String value() {
-    return value;
+  public String quantity() {
+    return quantity;
   }
 
   /** The sizes at which the cost is measured. */
@@ -159,23 +159,23 @@
 
   /** The median over {@code repetitions} at this size, after a warm-up run that is not counted. */
   public double median(int size, int repetitions) {
-    once(size);
+    measureOnce(size);
     double[] samples = new double[repetitions];
     for (int i = 0; i < repetitions; i++) {
-      samples[i] = once(size);
+      samples[i] = measureOnce(size);
     }
     Arrays.sort(samples);
     return samples[repetitions / 2];
   }
 
-  private static double measurePlacements(ModuleBench bench) {
+  private static double measurePlacements(ModuleBenchmark bench) {
     int placed = 0;
     for (int i = 0; i < PLACEMENTS / 4; i++) {
-      bench.place();
+      bench.placeConnection();
     }
     long before = System.nanoTime();
     for (int i = 0; i < PLACEMENTS; i++) {
-      placed += bench.place() ? 1 : 0;
+      placed += bench.placeConnection() ? 1 : 0;
     }
     if (placed < PLACEMENTS) {
       throw new IllegalStateException(placed + " of " + PLACEMENTS + " were placed");
--- a/lab/src/main/java/amberhoist/lab/slope/RelayBench.java
+++ b/lab/src/main/java/amberhoist/lab/slope/RelayBenchmark.java
@@ -20,7 +20,7 @@
  * A proxy process with a given number of established connections. All clients and the provider run on one thread of
  * this process. Clients send lines, and the provider echoes them.
  */
-final class RelayBench implements AutoCloseable {
+final class RelayBenchmark implements AutoCloseable {
   private static final int LINE_BYTES = 64;
   private static final int MAX_IN_FLIGHT = 200; // connections or lines in flight
   private static final long TIMEOUT_NANOS = 60_000_000_000L;
@@ -35,7 +35,7 @@
   private final InetSocketAddress proxy;
   private long receivedBytes; // by clients
 
-  RelayBench(int connections) throws IOException {
+  RelayBenchmark(int connections) throws IOException {
     provider.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 4096);
     provider.configureBlocking(false);
     provider.register(selector, SelectionKey.OP_ACCEPT);
@@ -84,7 +84,7 @@
   }
 
   /** Opens connections until there are {@code connections}, and returns when all of them are established. */
-  void connect(int connections) throws IOException {
+  void openConnections(int connections) throws IOException {
     int answerBytes = "UP r\r\n".length();
     while (clients.size() < connections) {
       for (int i = Math.min(MAX_IN_FLIGHT, connections - clients.size()); i > 0; i--) {
@@ -99,7 +99,7 @@
   }
 
   /** Sends {@code count} lines, over all connections in turn, and returns when all of them are echoed. */
-  void lines(int count) throws IOException {
+  void echoLines(int count) throws IOException {
     byte[] line = ("x".repeat(LINE_BYTES - 2) + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
     long receivedBefore = receivedBytes;
     for (int i = 0; i < count; i++) {
--- a/proxy/src/main/java/amberhoist/admin/AdminSocket.java
+++ b/proxy/src/main/java/amberhoist/admin/AdminSocket.java
@@ -60,7 +60,7 @@
     this.source = source;
     this.log = log;
     removeStale(address);
-    server = ServerSocketChannel.open(AdminAddress.family(address));
+    server = ServerSocketChannel.open(AdminAddress.protocolFamily(address));
     server.bind(address, 16);
     this.address = server.getLocalAddress();
     daemon(this::serve, "admin").start();
--- a/proxy/src/main/java/amberhoist/cli/ConfigCommand.java
+++ b/proxy/src/main/java/amberhoist/cli/ConfigCommand.java
@@ -1,10 +1,10 @@
 package amberhoist.cli;
 
-import amberhoist.config.Reference;
-import amberhoist.config.Setup;
-import amberhoist.config.Setup.Reading;
-import amberhoist.config.Setup.Sources;
-import amberhoist.config.schema.Problem;
+import amberhoist.config.ProxyConfig;
+import amberhoist.config.ProxyConfig.ConfigSources;
+import amberhoist.config.ProxyConfig.OperatorConfigResult;
+import amberhoist.config.ReferencePages;
+import amberhoist.config.schema.ConfigProblem;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
@@ -28,7 +28,7 @@
     throw new ParameterException(spec.commandLine(), "missing subcommand: check, show or reference");
   }
 
-  private static int printProblems(List<Problem> problems) {
+  private static int printProblems(List<ConfigProblem> problems) {
     problems.forEach(System.err::println);
     return problems.isEmpty() ? 0 : 1;
   }
@@ -38,7 +38,7 @@
   int check(@Parameters(paramLabel = "FILE", arity = "1..*", description = "operator's files") List<Path> files) {
     int status = 0;
     for (Path file : files) {
-      Reading reading = Setup.read(new Sources(file, Map.of(), Map.of()), false);
+      OperatorConfigResult reading = ProxyConfig.readOperatorKeys(new ConfigSources(file, Map.of(), Map.of()), false);
       status = Math.max(status, printProblems(reading.problems()));
       if (reading.problems().isEmpty()) {
         System.out.println(file + ": valid");
@@ -50,8 +50,8 @@
   /** Prints the effective configuration. */
   @Command(name = "show", description = "Prints the effective value of each key and its source.")
   int show(@Mixin SourceOptions options) {
-    Reading reading = Setup.read(options.sources(), false);
-    System.out.print(Reference.show(reading));
+    OperatorConfigResult reading = ProxyConfig.readOperatorKeys(options.sources(), false);
+    System.out.print(ReferencePages.formatKeys(reading));
     return printProblems(reading.problems());
   }
 
@@ -68,9 +68,9 @@
   @Command(name = "reference", description = "Prints the reference page of keys, generated from the code.")
   int reference(@ArgGroup ReferenceKind kind) {
     if (kind != null && kind.toml) {
-      System.out.print(Reference.example());
+      System.out.print(ReferencePages.exampleFile());
     } else {
-      System.out.print(kind != null && kind.events ? Reference.events() : Reference.page());
+      System.out.print(kind != null && kind.events ? ReferencePages.eventsPage() : ReferencePages.keysPage());
     }
     return 0;
   }
--- a/proxy/src/main/java/amberhoist/cli/DrillCommand.java
+++ b/proxy/src/main/java/amberhoist/cli/DrillCommand.java
@@ -8,6 +8,6 @@
 final class DrillCommand implements Callable<Integer> {
   @Override
   public Integer call() {
-    return amberhoist.simulator.Main.run(new String[] {"drill"}, System.in, System.out, System.err);
+    return amberhoist.simulator.SimulatorMain.run(new String[] {"drill"}, System.in, System.out, System.err);
   }
 }
--- a/proxy/src/main/java/amberhoist/cli/ServeRunner.java
+++ b/proxy/src/main/java/amberhoist/cli/ServeRunner.java
@@ -1,9 +1,9 @@
 package amberhoist.cli;
 
 import amberhoist.clock.Clock;
-import amberhoist.config.Config.BadConfig;
-import amberhoist.config.Setup;
-import amberhoist.config.Setup.Sources;
+import amberhoist.config.PlatformConfig.InvalidConfigException;
+import amberhoist.config.ProxyConfig;
+import amberhoist.config.ProxyConfig.ConfigSources;
 import amberhoist.log.EventLog;
 import amberhoist.net.Signals;
 import amberhoist.service.Service;
@@ -20,7 +20,7 @@
   private ServeRunner() {}
 
   /** Starts a proxy that runs until the process is terminated; exits with status 1 if it cannot start. */
-  static void serve(Sources sources) {
+  static void serve(ConfigSources sources) {
     CompletableFuture<Optional<Service>> started = new CompletableFuture<>(); // empty if startup failed
     Signals.onHangup(() -> started.join().ifPresent(service -> service.reload(sources)));
     Runtime.getRuntime().addShutdownHook(new Thread(() -> started.join().ifPresent(service -> {
@@ -29,13 +29,13 @@
       Runtime.getRuntime().halt(0);
     }), "stop"));
     try {
-      Setup setup = Setup.load(sources, new Clock());
+      ProxyConfig setup = ProxyConfig.load(sources, new Clock());
       EventLog.selectBackend(setup.operator().log().format());
       EventLog.redirectStandardError((int) setup.operator().log().queue().bytes(),
-          new EventLog(setup.config().name(), setup.operator().logSettings()));
+          new EventLog(setup.platform().name(), setup.operator().logSettings()));
       started.complete(Optional.of(Service.start(setup)));
       return;
-    } catch (BadConfig fault) {
+    } catch (InvalidConfigException fault) {
       fault.problems().forEach(System.err::println);
     } catch (IOException fault) {
       System.err.println("cannot start: " + fault.getMessage());
--- a/proxy/src/main/java/amberhoist/cli/SourceOptions.java
+++ b/proxy/src/main/java/amberhoist/cli/SourceOptions.java
@@ -1,6 +1,6 @@
 package amberhoist.cli;
 
-import amberhoist.config.Setup.Sources;
+import amberhoist.config.ProxyConfig.ConfigSources;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -27,14 +27,14 @@
   Map<String, String> keys = new LinkedHashMap<>();
 
   /** The sources: these options and the environment. */
-  Sources sources() {
+  ConfigSources sources() {
     Map<String, String> flags = new LinkedHashMap<>(keys);
     put(flags, "instance.platform", platform);
     put(flags, "instance.name", name);
     put(flags, "instance.listen", listen);
     put(flags, "instance.directory", directory);
-    Sources environment = Sources.of(System.getenv());
-    return new Sources(config == null ? environment.file() : config, flags, environment.environment());
+    ConfigSources environment = ConfigSources.ofEnvironment(System.getenv());
+    return new ConfigSources(config == null ? environment.operatorFile() : config, flags, environment.environment());
   }
 
   private static void put(Map<String, String> flags, String key, String value) {
--- a/proxy/src/main/java/amberhoist/cli/StatusCommand.java
+++ b/proxy/src/main/java/amberhoist/cli/StatusCommand.java
@@ -3,7 +3,7 @@
 import amberhoist.admin.AdminClient;
 import amberhoist.admin.Status;
 import amberhoist.config.AdminAddress;
-import amberhoist.config.Setup;
+import amberhoist.config.ProxyConfig;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 import java.net.SocketAddress;
@@ -36,7 +36,8 @@
 
   @Override
   public Integer call() throws IOException {
-    String text = admin == null ? Setup.read(options.sources(), false).operator().admin().listen() : admin;
+    String text = admin == null ? ProxyConfig.readOperatorKeys(options.sources(), false).operator().admin().listen()
+        : admin;
     SocketAddress address;
     try {
       address = AdminAddress.parse(text);
--- a/proxy/src/main/java/amberhoist/cli/TrainingRun.java
+++ b/proxy/src/main/java/amberhoist/cli/TrainingRun.java
@@ -1,8 +1,8 @@
 package amberhoist.cli;
 
 import amberhoist.clock.Clock;
-import amberhoist.config.Config;
-import amberhoist.config.Config.BadConfig;
+import amberhoist.config.PlatformConfig;
+import amberhoist.config.PlatformConfig.InvalidConfigException;
 import amberhoist.log.EventLog;
 import amberhoist.log.LogSettings;
 import amberhoist.net.Signals;
@@ -31,7 +31,7 @@
     Signals.onHangup(() -> {});
     try {
       run(file);
-    } catch (BadConfig | IOException fault) {
+    } catch (InvalidConfigException | IOException fault) {
       System.err.println("training run: " + fault.getMessage());
       EventLog.flush();
       System.exit(1);
@@ -43,10 +43,10 @@
    * Starts a proxy with this configuration, sends it a PING, an invocation that no provider answers and management
    * requests, then stops it.
    */
-  static void run(String file) throws BadConfig, IOException {
+  static void run(String file) throws InvalidConfigException, IOException {
     Map<String, String> environment = Map.of("LB_CONFIG", file, "LB_LISTEN", "127.0.0.1:0",
         "LB_DISCOVERY", "127.0.0.1:1", "LB_MGMT", "127.0.0.1:0");
-    Service service = Service.start(Config.load(environment, new Clock()));
+    Service service = Service.start(PlatformConfig.load(environment, new Clock()));
     try (Socket client = new Socket(InetAddress.getLoopbackAddress(), service.address().getPort())) {
       client.setSoTimeout(10_000);
       BufferedReader responses = new BufferedReader(
--- a/proxy/src/main/java/amberhoist/config/AdminAddress.java
+++ b/proxy/src/main/java/amberhoist/config/AdminAddress.java
@@ -43,7 +43,7 @@
   }
 
   /** Returns the protocol family of the socket for this address. */
-  public static StandardProtocolFamily family(SocketAddress address) {
+  public static StandardProtocolFamily protocolFamily(SocketAddress address) {
     return address instanceof UnixDomainSocketAddress ? StandardProtocolFamily.UNIX : StandardProtocolFamily.INET;
   }
 }
--- a/proxy/src/main/java/amberhoist/config/Operator.java
+++ b/proxy/src/main/java/amberhoist/config/OperatorConfig.java
@@ -17,7 +17,7 @@
  * table; its name is the name of the key. The defaults are in {@link #DEFAULT}. The reference page is generated from
  * the annotations and the defaults.
  */
-public record Operator(Instance instance, Log log, Admin admin, Limits limits, Answers answers, Silence silence,
+public record OperatorConfig(Instance instance, Log log, Admin admin, Limits limits, Answers answers, Silence silence,
     Stop stop, Line line, Sockets sockets, Directory directory) {
 
   /** Identity and addresses of the instance. */
@@ -136,7 +136,7 @@
           min = "1ms", max = "10m") Duration pauseMost) {}
 
   /** The defaults. */
-  public static final Operator DEFAULT = new Operator(
+  public static final OperatorConfig DEFAULT = new OperatorConfig(
       new Instance("", "", "", "", ""),
       new Log(LogSettings.DEFAULT.format(), LogSettings.DEFAULT.level(), LogSettings.DEFAULT.linesPerSecond(),
           LogSettings.DEFAULT.burst(), new Size(LogSettings.DEFAULT.queueBytes())),
@@ -188,18 +188,18 @@
   }
 
   /** Returns these values, except that keys that require a restart have the values of {@code other}. */
-  public Operator withRestartKeysOf(Operator other) {
-    if (Setup.needRestart(other, this).isEmpty()) {
+  public OperatorConfig withRestartKeysOf(OperatorConfig other) {
+    if (ProxyConfig.keysNeedingRestart(other, this).isEmpty()) {
       return this;
     }
-    Map<String, Object> values = Keys.SCHEMA.values(this);
-    Map<String, Object> otherValues = Keys.SCHEMA.values(other);
-    Keys.SCHEMA.keys().forEach((path, key) -> {
+    Map<String, Object> values = OperatorSchema.SCHEMA.values(this);
+    Map<String, Object> otherValues = OperatorSchema.SCHEMA.values(other);
+    OperatorSchema.SCHEMA.keys().forEach((path, key) -> {
       if (key.setting().restart()) {
         values.put(path, otherValues.get(path));
       }
     });
-    return Keys.SCHEMA.bind(values);
+    return OperatorSchema.SCHEMA.bind(values);
   }
 
   /** Returns the settings of the log. */
@@ -208,7 +208,7 @@
   }
 
   /** Returns the timing of the core. */
-  public Timing timing() {
+  public Timing coreTiming() {
     return new Timing(micros(answers.margin()), micros(silence.alone()), micros(silence.together()),
         micros(stop.routed()), micros(stop.hold()), micros(stop.longest()), micros(stop.advice()));
   }
--- a/proxy/src/main/java/amberhoist/config/Config.java
+++ b/proxy/src/main/java/amberhoist/config/PlatformConfig.java
@@ -1,7 +1,7 @@
 package amberhoist.config;
 
 import amberhoist.clock.Clock;
-import amberhoist.config.schema.Problem;
+import amberhoist.config.schema.ConfigProblem;
 import amberhoist.core.Limits;
 import amberhoist.decide.Balancer.Settings;
 import amberhoist.directory.Address;
@@ -24,19 +24,21 @@
  * The platform's configuration of a proxy: the JSON file that {@code LB_CONFIG} names, and environment variables.
  *
  * @param name name of the instance, empty if none is given
- * @param listen address on which clients are accepted
- * @param discovery address of the directory
+ * @param listenAddress address on which clients are accepted
+ * @param directoryAddress address of the directory
  * @param seed seed of the random decisions; not reproducible unless the file gives one
- * @param sockets maximum number of file descriptors
- * @param known the directory's list of providers as this proxy last had it, in use until the directory answers
+ * @param maxDescriptors maximum number of file descriptors
+ * @param initialUpdate the directory's list of providers as this proxy last had it, in use until the directory answers
  * @param settings settings of the decision module
  * @param limits limits that the core applies
- * @param mgmt address of the management API, null if it is disabled
- * @param shared folder shared by the processes of an upgrade, null if there is none
+ * @param managementAddress address of the management API, null if it is disabled
+ * @param sharedFolder folder shared by the processes of an upgrade, null if there is none
  */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-    int sockets, DirectoryUpdate known, Settings settings, Limits limits, InetSocketAddress mgmt,
-    Path shared) {
+public record PlatformConfig(String name, InetSocketAddress listenAddress, InetSocketAddress directoryAddress,
+    long seed,
+    int maxDescriptors, DirectoryUpdate initialUpdate, Settings settings, Limits limits,
+    InetSocketAddress managementAddress,
+    Path sharedFolder) {
   private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
   private static final long DEFAULT_CONNECT_TIMEOUT_MICROS = 250_000;
   private static final long DEFAULT_MAX_CLIENT_WAIT_MICROS = 3_000_000;
@@ -44,18 +46,19 @@
   /**
    * Reads the file that {@code LB_CONFIG} names. Other variables override its contents.
    *
-   * @throws BadConfig if the variable is not set or the file is not valid
+   * @throws InvalidConfigException if the variable is not set or the file is not valid
    */
-  public static Config load(Map<String, String> environment, Clock clock) throws BadConfig {
+  public static PlatformConfig load(Map<String, String> environment, Clock clock) throws InvalidConfigException {
     String file = environment.get("LB_CONFIG");
     if (file == null || file.isEmpty()) {
-      throw new BadConfig("LB_CONFIG is not set");
+      throw new InvalidConfigException("LB_CONFIG is not set");
     }
     try (JsonParser in = new JsonFactory().createParser(Files.readAllBytes(Path.of(file)))) {
       return read(in, environment, clock);
     } catch (IOException | RuntimeException fault) {
       String firstLine = String.valueOf(fault.getMessage()).lines().findFirst().orElse("");
-      throw new BadConfig("cannot use " + file + ": " + fault.getClass().getSimpleName() + ": " + firstLine);
+      throw new InvalidConfigException("cannot use " + file + ": " + fault.getClass()
+          .getSimpleName() + ": " + firstLine);
     }
   }
 
@@ -63,20 +66,21 @@
    * Reads the file again while the proxy runs. Its {@code discovery} then overrides {@code LB_DISCOVERY}, which still
    * names the address from the start of the process.
    *
-   * @throws BadConfig if the variable {@code LB_CONFIG} is not set or the file is not valid
+   * @throws InvalidConfigException if the variable {@code LB_CONFIG} is not set or the file is not valid
    */
-  public static Config reload(Map<String, String> environment, Clock clock) throws BadConfig {
+  public static PlatformConfig reload(Map<String, String> environment, Clock clock) throws InvalidConfigException {
     Map<String, String> remaining = new HashMap<>(environment);
     remaining.remove("LB_DISCOVERY");
     return load(remaining, clock);
   }
 
   /** Returns a copy with another maximum number of file descriptors. */
-  Config withSockets(int descriptors) {
-    return new Config(name, listen, discovery, seed, descriptors, known, settings, limits, mgmt, shared);
+  PlatformConfig withMaxDescriptors(int maxDescriptors) {
+    return new PlatformConfig(name, listenAddress, directoryAddress, seed, maxDescriptors, initialUpdate, settings,
+        limits, managementAddress, sharedFolder);
   }
 
-  private static Config read(JsonParser in, Map<String, String> environment, Clock clock) throws IOException {
+  private static PlatformConfig read(JsonParser in, Map<String, String> environment, Clock clock) throws IOException {
     String name = environment.get("LB_NAME");
     String listen = environment.get("LB_LISTEN");
     String discovery = environment.get("LB_DISCOVERY");
@@ -108,7 +112,7 @@
           }
         }
         case "known" -> known = DirectoryUpdate.read(in, clock);
-        case "settings" -> reader = SettingsReader.of(in);
+        case "settings" -> reader = SettingsReader.read(in);
         default -> in.skipChildren();
       }
     }
@@ -119,13 +123,14 @@
     Settings settings = reader.settings();
     long maxClientWait = 0;
     for (int i = 0; i < settings.requestClasses().size(); i++) {
-      maxClientWait = Math.max(maxClientWait, reader.whole("lanes." + i + ".give-up", DEFAULT_MAX_CLIENT_WAIT_MICROS));
+      maxClientWait = Math.max(maxClientWait,
+          reader.wholeNumber("lanes." + i + ".give-up", DEFAULT_MAX_CLIENT_WAIT_MICROS));
     }
-    return new Config(name == null ? "" : name, Address.parse(listen), Address.parse(discovery),
+    return new PlatformConfig(name == null ? "" : name, Address.parse(listen), Address.parse(discovery),
         seed == null ? System.nanoTime() : Long.parseUnsignedLong(seed, 16), sockets, known, settings,
-        new Limits(reader.whole("limits.dial-timeout", DEFAULT_CONNECT_TIMEOUT_MICROS),
+        new Limits(reader.wholeNumber("limits.dial-timeout", DEFAULT_CONNECT_TIMEOUT_MICROS),
             maxClientWait == 0 ? DEFAULT_MAX_CLIENT_WAIT_MICROS : maxClientWait,
-            reader.names("lanes"), reader.names("tenants")),
+            reader.namesOf("lanes"), reader.namesOf("tenants")),
         mgmt == null || mgmt.isEmpty() ? null : Address.parse(mgmt), sharedFolder(environment.get("TMPDIR")));
   }
 
@@ -140,23 +145,23 @@
   }
 
   /** Thrown for an invalid configuration. The message is a single line. */
-  public static final class BadConfig extends Exception {
+  public static final class InvalidConfigException extends Exception {
     private static final long serialVersionUID = 1;
 
-    private final transient List<Problem> problems;
+    private final transient List<ConfigProblem> problems;
 
-    BadConfig(String message) {
+    InvalidConfigException(String message) {
       super(message);
-      problems = List.of(new Problem("platform", "", message));
+      problems = List.of(new ConfigProblem("platform", "", message));
     }
 
-    BadConfig(List<Problem> problems) {
-      super(problems.stream().map(Problem::toString).collect(Collectors.joining("; ")));
+    InvalidConfigException(List<ConfigProblem> problems) {
+      super(problems.stream().map(ConfigProblem::toString).collect(Collectors.joining("; ")));
       this.problems = problems;
     }
 
     /** Returns all problems of the configuration. */
-    public List<Problem> problems() {
+    public List<ConfigProblem> problems() {
       return problems;
     }
   }
--- a/proxy/src/main/java/amberhoist/config/Setup.java
+++ b/proxy/src/main/java/amberhoist/config/ProxyConfig.java
@@ -1,11 +1,11 @@
 package amberhoist.config;
 
 import amberhoist.clock.Clock;
-import amberhoist.config.Config.BadConfig;
-import amberhoist.config.schema.Problem;
+import amberhoist.config.PlatformConfig.InvalidConfigException;
+import amberhoist.config.schema.ConfigProblem;
+import amberhoist.config.schema.RawValue;
 import amberhoist.config.schema.Schema.Key;
-import amberhoist.config.schema.Values;
-import amberhoist.config.schema.Written;
+import amberhoist.config.schema.ValueFormat;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -20,30 +20,30 @@
  * <p>If no operator's file, flag or {@code AMBERHOIST_} variable is given, as on the platform, the classes that process
  * the operator's keys are not loaded.
  *
- * @param config the platform's configuration
+ * @param platform the platform's configuration
  * @param operator the effective values of the operator's keys
  * @param origins origin of each key that a source sets, by path: a file, an environment variable or a flag
  */
-public record Setup(Config config, Operator operator, Map<String, String> origins) {
+public record ProxyConfig(PlatformConfig platform, OperatorConfig operator, Map<String, String> origins) {
   private static final String VARIABLE_PREFIX = "AMBERHOIST_";
 
   /**
    * The sources from which a configuration is read.
    *
-   * @param file the operator's file, null if there is none
+   * @param operatorFile the operator's file, null if there is none
    * @param flags values of keys set on the command line, by path
    * @param environment the environment variables
    */
-  public record Sources(Path file, Map<String, String> flags, Map<String, String> environment) {
+  public record ConfigSources(Path operatorFile, Map<String, String> flags, Map<String, String> environment) {
     /** Returns sources without flags; the operator's file is the one that {@code AMBERHOIST_CONFIG} names, if any. */
-    public static Sources of(Map<String, String> environment) {
+    public static ConfigSources ofEnvironment(Map<String, String> environment) {
       String file = environment.get(VARIABLE_PREFIX + "CONFIG");
-      return new Sources(file == null || file.isEmpty() ? null : Path.of(file), Map.of(), environment);
+      return new ConfigSources(file == null || file.isEmpty() ? null : Path.of(file), Map.of(), environment);
     }
 
     /** Returns whether only the platform's variables are given: no operator's file, flag or key in the environment. */
     private boolean isPlatformOnly() {
-      return file == null && flags.isEmpty()
+      return operatorFile == null && flags.isEmpty()
           && environment.keySet().stream().noneMatch(name -> name.startsWith(VARIABLE_PREFIX));
     }
   }
@@ -55,14 +55,15 @@
    * @param origins origin of each key that a source sets, by path
    * @param problems all problems found, empty if the configuration is valid
    */
-  public record Reading(Operator operator, Map<String, String> origins, List<Problem> problems) {}
+  public record OperatorConfigResult(OperatorConfig operator, Map<String, String> origins,
+      List<ConfigProblem> problems) {}
 
   /**
    * Reads all sources when the proxy starts.
    *
-   * @throws BadConfig with all problems of all sources, if there are any
+   * @throws InvalidConfigException with all problems of all sources, if there are any
    */
-  public static Setup load(Sources sources, Clock clock) throws BadConfig {
+  public static ProxyConfig load(ConfigSources sources, Clock clock) throws InvalidConfigException {
     return load(sources, clock, false);
   }
 
@@ -70,34 +71,35 @@
    * Reads all sources again while the proxy runs. The variable {@code LB_DISCOVERY} is then ignored, since it still
    * names the address from the start of the process.
    *
-   * @throws BadConfig with all problems of all sources, if there are any
+   * @throws InvalidConfigException with all problems of all sources, if there are any
    */
-  public static Setup reload(Sources sources, Clock clock) throws BadConfig {
+  public static ProxyConfig reload(ConfigSources sources, Clock clock) throws InvalidConfigException {
     return load(sources, clock, true);
   }
 
-  private static Setup load(Sources sources, Clock clock, boolean reload) throws BadConfig {
+  private static ProxyConfig load(ConfigSources sources, Clock clock, boolean isReload) throws InvalidConfigException {
     if (sources.isPlatformOnly()) {
       Map<String, String> environment = sources.environment();
-      Config config = reload ? Config.reload(environment, clock) : Config.load(environment, clock);
-      return new Setup(config, Operator.DEFAULT, Map.of());
+      PlatformConfig config = isReload ? PlatformConfig.reload(environment, clock)
+          : PlatformConfig.load(environment, clock);
+      return new ProxyConfig(config, OperatorConfig.DEFAULT, Map.of());
     }
-    Reading result = read(sources, reload);
-    Operator operator = result.operator();
-    Config config = null;
+    OperatorConfigResult result = readOperatorKeys(sources, isReload);
+    OperatorConfig operator = result.operator();
+    PlatformConfig config = null;
     try {
-      config = Config.load(effectiveEnvironment(sources.environment(), operator), clock);
-    } catch (BadConfig fault) {
-      result.problems().add(new Problem("platform", "", fault.getMessage()));
+      config = PlatformConfig.load(effectiveEnvironment(sources.environment(), operator), clock);
+    } catch (InvalidConfigException fault) {
+      result.problems().add(new ConfigProblem("platform", "", fault.getMessage()));
     }
     if (!result.problems().isEmpty()) {
-      throw new BadConfig(result.problems());
+      throw new InvalidConfigException(result.problems());
     }
-    return new Setup(config.withSockets(operator.limits().descriptors()), operator, result.origins());
+    return new ProxyConfig(config.withMaxDescriptors(operator.limits().descriptors()), operator, result.origins());
   }
 
   /** Returns the environment with the platform's variables set to the effective values of the operator's keys. */
-  private static Map<String, String> effectiveEnvironment(Map<String, String> environment, Operator operator) {
+  private static Map<String, String> effectiveEnvironment(Map<String, String> environment, OperatorConfig operator) {
     Map<String, String> effective = new HashMap<>(environment);
     Map.of("LB_NAME", operator.instance().name(), "LB_LISTEN", operator.instance().listen(), "LB_DISCOVERY",
         operator.instance().directory(), "LB_CONFIG", operator.instance().platform(), "LB_MGMT",
@@ -112,21 +114,21 @@
   }
 
   /** Reads the operator's keys from all sources and validates them; problems are part of the result. */
-  public static Reading read(Sources sources, boolean reload) {
-    List<Problem> problems = new ArrayList<>();
-    List<Layer> layers = new ArrayList<>();
-    if (sources.file() != null) {
-      layers.add(Layer.file(sources.file(), problems));
+  public static OperatorConfigResult readOperatorKeys(ConfigSources sources, boolean isReload) {
+    List<ConfigProblem> problems = new ArrayList<>();
+    List<ConfigLayer> layers = new ArrayList<>();
+    if (sources.operatorFile() != null) {
+      layers.add(ConfigLayer.fromFile(sources.operatorFile(), problems));
     }
-    Layer environment = Layer.environment(sources.environment(), reload);
-    Layer flags = Layer.flags(sources.flags());
+    ConfigLayer environment = ConfigLayer.fromEnvironment(sources.environment(), isReload);
+    ConfigLayer flags = ConfigLayer.fromFlags(sources.flags());
     String platform = "";
-    for (Layer layer : layers) {
+    for (ConfigLayer layer : layers) {
       platform = platformFile(layer, platform);
     }
     platform = platformFile(flags, platformFile(environment, platform));
     if (!platform.isEmpty()) {
-      layers.add(Layer.platform(Path.of(platform)));
+      layers.add(ConfigLayer.fromPlatform(Path.of(platform)));
     }
     layers.add(environment);
     layers.add(flags);
@@ -134,33 +136,33 @@
   }
 
   /** Returns the path of the platform's JSON file that the layer sets, or else the default. */
-  private static String platformFile(Layer layer, String defaultFile) {
-    Written value = layer.values().get("instance.platform");
+  private static String platformFile(ConfigLayer layer, String defaultFile) {
+    RawValue value = layer.values().get("instance.platform");
     return value == null ? defaultFile : value.text();
   }
 
-  private static Reading merge(List<Layer> layers, List<Problem> problems) {
+  private static OperatorConfigResult merge(List<ConfigLayer> layers, List<ConfigProblem> problems) {
     Map<String, Object> values = new LinkedHashMap<>();
     Map<String, String> origins = new LinkedHashMap<>();
-    for (Layer layer : layers) {
+    for (ConfigLayer layer : layers) {
       layer.values().forEach((path, value) -> {
         try {
           values.put(path, check(path, value));
-          origins.put(path, value.where());
+          origins.put(path, value.origin());
         } catch (IllegalArgumentException fault) {
-          problems.add(new Problem(value.where(), path, fault.getMessage()));
+          problems.add(new ConfigProblem(value.origin(), path, fault.getMessage()));
         }
       });
     }
-    Operator operator = Keys.SCHEMA.bind(values);
+    OperatorConfig operator = OperatorSchema.SCHEMA.bind(values);
     operator.contradictions().forEach((path, message) ->
-        problems.add(new Problem(origins.getOrDefault(path, "default"), path,
-            message + " (" + Values.write(Keys.SCHEMA.values(operator).get(path)) + ")")));
-    return new Reading(operator, origins, problems);
+        problems.add(new ConfigProblem(origins.getOrDefault(path, "default"), path,
+            message + " (" + ValueFormat.format(OperatorSchema.SCHEMA.values(operator).get(path)) + ")")));
+    return new OperatorConfigResult(operator, origins, problems);
   }
 
-  private static Object check(String path, Written rawValue) {
-    Object value = Keys.SCHEMA.check(path, rawValue);
+  private static Object check(String path, RawValue rawValue) {
+    Object value = OperatorSchema.SCHEMA.parse(path, rawValue);
     if (path.equals("admin.listen")) {
       AdminAddress.parse((String) value);
     }
@@ -168,18 +170,18 @@
   }
 
   /** Formats the effective values of the operator's keys, one per line, each with its origin. */
-  public static String show(Setup setup) {
-    return Reference.show(new Reading(setup.operator(), setup.origins(), List.of()));
+  public static String formatKeys(ProxyConfig setup) {
+    return ReferencePages.formatKeys(new OperatorConfigResult(setup.operator(), setup.origins(), List.of()));
   }
 
   /** Returns the paths of keys whose values differ and that take effect only after a restart. */
-  public static List<String> needRestart(Operator before, Operator after) {
+  public static List<String> keysNeedingRestart(OperatorConfig before, OperatorConfig after) {
     if (before.equals(after)) {
       return List.of();
     }
-    Map<String, Object> oldValues = Keys.SCHEMA.values(before);
-    Map<String, Object> newValues = Keys.SCHEMA.values(after);
-    return Keys.SCHEMA.keys().values().stream()
+    Map<String, Object> oldValues = OperatorSchema.SCHEMA.values(before);
+    Map<String, Object> newValues = OperatorSchema.SCHEMA.values(after);
+    return OperatorSchema.SCHEMA.keys().values().stream()
         .filter(key -> key.setting().restart() && !oldValues.get(key.path()).equals(newValues.get(key.path())))
         .map(Key::path).toList();
   }
--- a/proxy/src/main/java/amberhoist/config/schema/Schema.java
+++ b/proxy/src/main/java/amberhoist/config/schema/Schema.java
@@ -29,11 +29,11 @@
    *
    * @param path such as {@code log.level}, or {@code fault.*.at} in an array of tables
    * @param type the type of the value, or of the elements if the value is a list
-   * @param list whether the value is a list of scalars
+   * @param isList whether the value is a list of scalars
    * @param setting description and bounds
-   * @param initial the default value
+   * @param defaultValue the default value
    */
-  public record Key(String path, Class<?> type, boolean list, Setting setting, Object initial) {}
+  public record Key(String path, Class<?> type, boolean isList, Setting setting, Object defaultValue) {}
 
   private static final Pattern INDEX = Pattern.compile("\\.\\d+(?=\\.|$)");
 
@@ -125,12 +125,12 @@
   }
 
   /** Returns the key at this path, or null if there is none. */
-  public Key key(String path) {
+  public Key findKey(String path) {
     return keys.get(pattern(path));
   }
 
   /** Returns whether the path is that of a table or an array of tables; the empty path is the root table. */
-  public boolean table(String path) {
+  public boolean isTable(String path) {
     String pattern = pattern(path);
     return path.isEmpty() || tables.containsKey(pattern) || tables.containsKey(pattern + ".*");
   }
@@ -140,43 +140,44 @@
    *
    * @throws IllegalArgumentException if the key is unknown or the value invalid; the message says what was expected
    */
-  public Object check(String path, Written rawValue) {
-    Key key = key(path);
+  public Object parse(String path, RawValue rawValue) {
+    Key key = findKey(path);
     if (key == null) {
-      if (table(path)) {
+      if (isTable(path)) {
         throw new IllegalArgumentException("expected a table of keys");
       }
-      String similar = nearest(path);
+      String similar = findNearest(path);
       throw new IllegalArgumentException("unknown key" + (similar == null ? "" : "; the nearest known is " + similar));
     }
-    if (!key.list()) {
+    if (!key.isList()) {
       return parseScalar(key, rawValue);
     }
     if (rawValue.items() == null) {
-      throw new IllegalArgumentException("expected a list, each " + Values.expected(key.type()));
+      throw new IllegalArgumentException("expected a list, each " + ValueFormat.describeExpected(key.type()));
     }
     List<Object> items = new ArrayList<>();
-    for (Written item : rawValue.items()) {
+    for (RawValue item : rawValue.items()) {
       items.add(parseScalar(key, item));
     }
     return List.copyOf(items);
   }
 
-  private static Object parseScalar(Key key, Written rawValue) {
-    if (!rawValue.plain() || rawValue.quoted() != null && rawValue.quoted() != Values.quoted(key.type())) {
-      throw new IllegalArgumentException("expected " + Values.expected(key.type()));
+  private static Object parseScalar(Key key, RawValue rawValue) {
+    if (!rawValue.isScalar() || rawValue.isQuoted() != null
+        && rawValue.isQuoted() != ValueFormat.needsQuotes(key.type())) {
+      throw new IllegalArgumentException("expected " + ValueFormat.describeExpected(key.type()));
     }
     Object value;
     try {
-      value = Values.parse(key.type(), rawValue.text());
+      value = ValueFormat.parse(key.type(), rawValue.text());
     } catch (IllegalArgumentException fault) {
       throw new IllegalArgumentException("expected " + fault.getMessage() + ", not \"" + rawValue.text() + '"', fault);
     }
     String min = key.setting().min();
     String max = key.setting().max();
-    if (!min.isEmpty() && compare(value, Values.parse(key.type(), min)) < 0
-        || !max.isEmpty() && compare(value, Values.parse(key.type(), max)) > 0) {
-      throw new IllegalArgumentException("expected " + min + " to " + max + ", not " + Values.write(value));
+    if (!min.isEmpty() && compare(value, ValueFormat.parse(key.type(), min)) < 0
+        || !max.isEmpty() && compare(value, ValueFormat.parse(key.type(), max)) > 0) {
+      throw new IllegalArgumentException("expected " + min + " to " + max + ", not " + ValueFormat.format(value));
     }
     return value;
   }
@@ -257,7 +258,7 @@
   }
 
   /** Returns the path of the key with the most similar spelling, or null if none is similar. */
-  public String nearest(String path) {
+  public String findNearest(String path) {
     LevenshteinDistance distance = LevenshteinDistance.getDefaultInstance();
     String pattern = pattern(path);
     String name = path.substring(path.lastIndexOf('.') + 1);
@@ -277,7 +278,7 @@
   }
 
   /** Returns the reference of all keys as Markdown, with a section for each table. */
-  public String reference() {
+  public String toMarkdown() {
     StringBuilder out = new StringBuilder();
     if (keys.keySet().stream().anyMatch(path -> path.indexOf('.') < 0)) {
       appendSection(out, "", "");
@@ -299,7 +300,7 @@
       if ((last < 0 ? "" : key.path().substring(0, last)).equals(table)) {
         Setting setting = key.setting();
         out.append("| `").append(key.path().replace(".*", "")).append("` | ").append(typeName(key)).append(" | `")
-            .append(Values.toml(key.initial())).append("` | ").append(setting.min()).append(" | ")
+            .append(ValueFormat.toToml(key.defaultValue())).append("` | ").append(setting.min()).append(" | ")
             .append(setting.max()).append(" | ").append(setting.restart() ? "restart" : "SIGHUP")
             .append(" | ").append(setting.value()).append(" |\n");
       }
@@ -315,6 +316,6 @@
       case "Size" -> "size";
       default -> "text";
     };
-    return key.list() ? "list of " + name : name;
+    return key.isList() ? "list of " + name : name;
   }
 }
--- a/proxy/src/main/java/amberhoist/config/schema/Size.java
+++ b/proxy/src/main/java/amberhoist/config/schema/Size.java
@@ -5,7 +5,7 @@
   private static final long BYTES_PER_KIB = 1024;
 
   /** Returns a size of {@code count} KiB. */
-  public static Size kib(long count) {
+  public static Size ofKib(long count) {
     return new Size(count * BYTES_PER_KIB);
   }
 
--- a/proxy/src/main/java/amberhoist/config/schema/TomlSource.java
+++ b/proxy/src/main/java/amberhoist/config/schema/TomlReader.java
@@ -19,7 +19,7 @@
  * of values, so a separate scan of the text finds the lines of tables and keys. A value whose own line is not found is
  * reported at the line of its table.
  */
-public final class TomlSource {
+public final class TomlReader {
   private static final Pattern ARRAY_HEADER = Pattern.compile("\\s*\\[\\[\\s*([^\\]#]+?)\\s*\\]\\].*");
   private static final Pattern TABLE_HEADER = Pattern.compile("\\s*\\[\\s*([^\\]#\\[]+?)\\s*\\].*");
   private static final Pattern ENTRY = Pattern.compile("\\s*([A-Za-z0-9_.\"' -]+?)\\s*=.*");
@@ -27,26 +27,26 @@
   private final Schema<?> schema;
   private final String fileName;
   private final Map<String, Integer> lines;
-  private final Map<String, Written> values = new LinkedHashMap<>();
+  private final Map<String, RawValue> values = new LinkedHashMap<>();
 
-  private TomlSource(Schema<?> schema, String fileName, Map<String, Integer> lines) {
+  private TomlReader(Schema<?> schema, String fileName, Map<String, Integer> lines) {
     this.schema = schema;
     this.fileName = fileName;
     this.lines = lines;
   }
 
   /** Returns the values of a file by path. If it cannot be read or parsed, adds a problem and returns an empty map. */
-  public static Map<String, Written> read(Schema<?> schema, Path file, List<Problem> problems) {
+  public static Map<String, RawValue> read(Schema<?> schema, Path file, List<ConfigProblem> problems) {
     try {
       String text = Files.readString(file);
-      TomlSource reader = new TomlSource(schema, file.toString(), findLines(text));
+      TomlReader reader = new TomlReader(schema, file.toString(), findLines(text));
       reader.flatten("", new TomlMapper().readTree(text));
       return reader.values;
     } catch (JsonProcessingException fault) {
       int line = fault.getLocation() == null ? 1 : Math.max(1, fault.getLocation().getLineNr());
-      problems.add(new Problem(file + ":" + line, "", "invalid TOML: " + fault.getOriginalMessage()));
+      problems.add(new ConfigProblem(file + ":" + line, "", "invalid TOML: " + fault.getOriginalMessage()));
     } catch (IOException fault) {
-      problems.add(new Problem(file.toString(), "", "cannot be read: " + fault));
+      problems.add(new ConfigProblem(file.toString(), "", "cannot be read: " + fault));
     }
     return new LinkedHashMap<>();
   }
@@ -99,8 +99,8 @@
    * Adds the values below this node. An empty table that the schema does not know is added too, so that it is reported.
    */
   private void flatten(String path, JsonNode node) {
-    boolean isKey = schema.key(path) != null;
-    boolean isUnknownAndEmpty = node.isEmpty() && !schema.table(path);
+    boolean isKey = schema.findKey(path) != null;
+    boolean isUnknownAndEmpty = node.isEmpty() && !schema.isTable(path);
     if (node.isObject() && !isKey && !isUnknownAndEmpty) {
       node.fields().forEachRemaining(field ->
           flatten(path.isEmpty() ? field.getKey() : path + '.' + field.getKey(), field.getValue()));
@@ -113,14 +113,14 @@
     }
   }
 
-  private static Written toRawValue(String origin, JsonNode node) {
-    List<Written> items = null;
+  private static RawValue toRawValue(String origin, JsonNode node) {
+    List<RawValue> items = null;
     if (node.isArray()) {
       items = new ArrayList<>();
       for (JsonNode item : node) {
         items.add(toRawValue(origin, item));
       }
     }
-    return new Written(origin, node.asText(), node.isTextual(), items, node.isValueNode());
+    return new RawValue(origin, node.asText(), node.isTextual(), items, node.isValueNode());
   }
 }
--- a/proxy/src/main/java/amberhoist/config/schema/Values.java
+++ b/proxy/src/main/java/amberhoist/config/schema/ValueFormat.java
@@ -9,10 +9,10 @@
 import java.util.stream.Collectors;
 
 /** Parses and formats values in the syntax of the operator's file, where quantities carry a unit. */
-public final class Values {
+public final class ValueFormat {
   private static final Pattern QUANTITY = Pattern.compile("(\\d{1,15})(us|ms|s|m|h|B|KiB|MiB|GiB)");
 
-  private Values() {}
+  private ValueFormat() {}
 
   /**
    * Parses a value of this type, which is an enum, String, Duration, Size, int, double or boolean.
@@ -27,7 +27,7 @@
       try {
         return Integer.parseInt(text);
       } catch (NumberFormatException fault) {
-        throw new IllegalArgumentException(expected(type), fault);
+        throw new IllegalArgumentException(describeExpected(type), fault);
       }
     }
     if (type == double.class) {
@@ -39,13 +39,13 @@
       } catch (NumberFormatException fault) {
         // reported below
       }
-      throw new IllegalArgumentException(expected(type));
+      throw new IllegalArgumentException(describeExpected(type));
     }
     if (type == boolean.class) {
       if (text.equals("true") || text.equals("false")) {
         return Boolean.valueOf(text);
       }
-      throw new IllegalArgumentException(expected(type));
+      throw new IllegalArgumentException(describeExpected(type));
     }
     if (type == Duration.class) {
       return parseDuration(text);
@@ -54,11 +54,11 @@
       return parseSize(text);
     }
     for (Object constant : type.getEnumConstants()) {
-      if (write(constant).equals(text)) {
+      if (format(constant).equals(text)) {
         return constant;
       }
     }
-    throw new IllegalArgumentException(expected(type));
+    throw new IllegalArgumentException(describeExpected(type));
   }
 
   private static Duration parseDuration(String text) {
@@ -72,7 +72,7 @@
       default -> null;
     };
     if (unit == null) {
-      throw new IllegalArgumentException(expected(Duration.class));
+      throw new IllegalArgumentException(describeExpected(Duration.class));
     }
     return unit.multipliedBy(Long.parseLong(matcher.group(1)));
   }
@@ -87,13 +87,13 @@
       default -> 0;
     };
     if (unit == 0) {
-      throw new IllegalArgumentException(expected(Size.class));
+      throw new IllegalArgumentException(describeExpected(Size.class));
     }
     return new Size(unit * Long.parseLong(matcher.group(1)));
   }
 
   /** Describes the syntax of a value of this type, for messages such as "expected a number". */
-  public static String expected(Class<?> type) {
+  public static String describeExpected(Class<?> type) {
     if (type == int.class) {
       return "a whole number";
     } else if (type == double.class) {
@@ -107,12 +107,12 @@
     } else if (type == String.class) {
       return "a text";
     }
-    return "one of " + Arrays.stream(type.getEnumConstants()).map(constant -> '"' + write(constant) + '"')
+    return "one of " + Arrays.stream(type.getEnumConstants()).map(constant -> '"' + format(constant) + '"')
         .collect(Collectors.joining(", "));
   }
 
   /** Formats a value so that {@link #parse} reads it back; strings and enum constants come without quotes. */
-  public static String write(Object value) {
+  public static String format(Object value) {
     if (value instanceof Duration duration) {
       long micros = duration.toNanos() / 1000;
       if (micros % 1000 != 0) {
@@ -127,16 +127,16 @@
   }
 
   /** Returns whether TOML requires quotes around values of this type. */
-  public static boolean quoted(Class<?> type) {
+  public static boolean needsQuotes(Class<?> type) {
     return type != int.class && type != double.class && type != boolean.class;
   }
 
   /** Formats a value or a list of values as TOML, with quotes where TOML requires them. */
-  public static String toml(Object value) {
+  public static String toToml(Object value) {
     if (value instanceof List<?> list) {
-      return list.stream().map(Values::toml).collect(Collectors.joining(", ", "[", "]"));
+      return list.stream().map(ValueFormat::toToml).collect(Collectors.joining(", ", "[", "]"));
     }
     boolean unquoted = value instanceof Number || value instanceof Boolean;
-    return unquoted ? write(value) : '"' + write(value) + '"';
+    return unquoted ? format(value) : '"' + format(value) + '"';
   }
 }
--- a/proxy/src/main/java/amberhoist/distribution/Admission.java
+++ b/proxy/src/main/java/amberhoist/distribution/Admission.java
@@ -20,12 +20,12 @@
   }
 
   /** Whether one more subscriber is admitted now. */
-  boolean admits(long now) {
-    return bucket.take(now, 1);
+  boolean tryAdmit(long now) {
+    return bucket.tryTake(now, 1);
   }
 
   /** Returns when a deferred subscriber is to retry, in microseconds from now. Slots that are not used expire. */
-  long after(long now) {
+  long retryAfterMicros(long now) {
     nextRetryAt = Math.min(now + MAX_RETRY_AFTER_MICROS,
         Math.max(nextRetryAt, now + bucket.microsUntil(now, 1)) + intervalMicros);
     return nextRetryAt - now;
--- a/proxy/src/main/java/amberhoist/distribution/Backoff.java
+++ b/proxy/src/main/java/amberhoist/distribution/Backoff.java
@@ -22,20 +22,20 @@
   }
 
   /** An attempt succeeded: the delay starts from the first one again. */
-  void succeeded() {
+  void onSuccess() {
     failures = 0;
   }
 
   /** An attempt failed: returns the delay before the next one, in microseconds. */
-  long failed(long now) {
+  long delayAfterFailure(long now) {
     long delay = Math.min(maxMicros, initialMicros << Math.min(failures, MAX_DOUBLINGS));
     failures++;
-    budget.spend(now, 1);
-    return Math.max(jitter(delay), budget.microsUntil(now, 0));
+    budget.charge(now, 1);
+    return Math.max(withJitter(delay), budget.microsUntil(now, 0));
   }
 
   /** Returns a random duration between 0.5 and 1.5 times the given one. */
-  long jitter(long micros) {
+  long withJitter(long micros) {
     return (long) (micros * (0.5 + random.nextDouble()));
   }
 }
--- a/proxy/src/main/java/amberhoist/distribution/DistributionSettings.java
+++ b/proxy/src/main/java/amberhoist/distribution/DistributionSettings.java
@@ -6,21 +6,23 @@
  * Settings of the distribution. Distributors and subscribers of a fleet use the same. Times are in microseconds.
  *
  * @param fleet name of the fleet; requests from another fleet are rejected
- * @param renewEvery period at which a subscriber renews its lease
- * @param lease max. duration of a subscriber's lease
- * @param stage how long subscribers that still fetch a pending change get leases on the version before
+ * @param renewPeriodMicros period at which a subscriber renews its lease
+ * @param leaseMicros max. duration of a subscriber's lease
+ * @param stagingMicros how long subscribers that still fetch a pending change get leases on the version before
  * @param admissionsPerSecond rate at which a distributor admits subscribers
- * @param mostSubscribers max. number of subscribers of a distributor
+ * @param maxSubscribers max. number of subscribers of a distributor
  * @param bytesPerSecond rate limit for what distributors send to a subscriber
- * @param chunk max. bytes of a transfer in one message
- * @param backoffFirst delay after the first failure, doubled with each further one
- * @param backoffMost max. delay before the next attempt
- * @param returnEvery period at which a subscriber of another distributor retries the preferred one
+ * @param maxChunkBytes max. bytes of a transfer in one message
+ * @param minBackoffMicros delay after the first failure, doubled with each further one
+ * @param maxBackoffMicros max. delay before the next attempt
+ * @param returnPeriodMicros period at which a subscriber of another distributor retries the preferred one
  */
-public record DistributionSettings(String fleet, long renewEvery, long lease, long stage, int admissionsPerSecond,
-    int mostSubscribers, int bytesPerSecond, int chunk, long backoffFirst, long backoffMost, long returnEvery) {
+public record DistributionSettings(String fleet, long renewPeriodMicros, long leaseMicros, long stagingMicros,
+    int admissionsPerSecond,
+    int maxSubscribers, int bytesPerSecond, int maxChunkBytes, long minBackoffMicros, long maxBackoffMicros,
+    long returnPeriodMicros) {
   /** Greatest difference between the rates of two clocks, as a fraction; the same as in {@link Leases}. */
-  public static final double DRIFT = Leases.DRIFT;
+  public static final double MAX_CLOCK_DRIFT = Leases.MAX_CLOCK_DRIFT;
 
   private static final long MICROS_PER_MILLI = 1_000;
   private static final long MICROS_PER_SECOND = 1_000_000;
@@ -34,21 +36,22 @@
     if (fleet == null || fleet.isBlank()) {
       throw new IllegalArgumentException("distribution: the fleet must have a name");
     }
-    if (renewEvery <= 0 || lease < 2 * renewEvery || stage < 0) {
+    if (renewPeriodMicros <= 0 || leaseMicros < 2 * renewPeriodMicros || stagingMicros < 0) {
       throw new IllegalArgumentException("distribution: a lease must last for two renewal periods or longer");
     }
-    if (admissionsPerSecond < 1 || mostSubscribers < 1 || chunk < 1 || bytesPerSecond < chunk) {
+    if (admissionsPerSecond < 1 || maxSubscribers < 1 || maxChunkBytes < 1 || bytesPerSecond < maxChunkBytes) {
       throw new IllegalArgumentException("distribution: limits must be positive, and a second must hold a chunk");
     }
-    if (backoffFirst <= 0 || backoffMost < backoffFirst || returnEvery <= 0) {
+    if (minBackoffMicros <= 0 || maxBackoffMicros < minBackoffMicros || returnPeriodMicros <= 0) {
       throw new IllegalArgumentException("distribution: the max. backoff must not be shorter than the first");
     }
   }
 
   /** Returns these settings with another rate of admissions. */
-  public DistributionSettings withAdmissions(int perSecond) {
-    return new DistributionSettings(fleet, renewEvery, lease, stage, perSecond, mostSubscribers, bytesPerSecond, chunk,
-        backoffFirst, backoffMost, returnEvery);
+  public DistributionSettings withAdmissionsPerSecond(int perSecond) {
+    return new DistributionSettings(fleet, renewPeriodMicros, leaseMicros, stagingMicros, perSecond, maxSubscribers,
+        bytesPerSecond, maxChunkBytes,
+        minBackoffMicros, maxBackoffMicros, returnPeriodMicros);
   }
 
   /** Returns the default settings for a fleet of this name. */
--- a/proxy/src/main/java/amberhoist/distribution/Distributor.java
+++ b/proxy/src/main/java/amberhoist/distribution/Distributor.java
@@ -44,7 +44,7 @@
   private final DistributionSettings settings;
   private final BiConsumer<String, Reply> sender;
   private final Map<String, Session> sessions = new HashMap<>();
-  private final Transfers transfers = new Transfers();
+  private final TransferCache transfers = new TransferCache();
   private final Admission admission;
   private final DistributorCounters counters = new DistributorCounters();
   private final long startedAt;
@@ -68,11 +68,11 @@
   }
 
   /** Updates the policy after each step of the replicated log, before a lease that requires it is passed in. */
-  public void policy(long now, PolicyState newState) {
-    boolean changeBegins = newState.pending() != null && !state.isPending(newState.latest());
-    boolean changeEnds = state.pending() != null && !newState.isPending(state.latest());
+  public void onPolicyState(long now, PolicyState newState) {
+    boolean changeBegins = newState.pending() != null && !state.isPending(newState.latestVersion());
+    boolean changeEnds = state.pending() != null && !newState.isPending(state.latestVersion());
     state = newState;
-    transfers.keep(newState.inForce());
+    transfers.keepBase(newState.inForce());
     if (changeBegins) {
       pendingSince = now;
       leasesStopped = !hadLease; // this distributor may have reported it before a restart
@@ -86,18 +86,18 @@
     if (concluded) {
       sender.accept(name, status());
     }
-    if (state.pending() != null && session.preparedVersion != state.latest()) {
+    if (state.pending() != null && session.preparedVersion != state.latestVersion()) {
       offer(name, session, state.pending(), true);
     }
   }
 
   private Status status() {
-    return new Status(state.inForce().version(), state.latest(), state.pending() != null);
+    return new Status(state.inForce().version(), state.latestVersion(), state.pending() != null);
   }
 
-  /** The leader's lease is valid until then; the log that it requires has been passed to {@link #policy}. */
-  public void lease(long until) {
-    leaseUntil = Math.max(leaseUntil, until);
+  /** The leader's lease is valid until then; the log that it requires has been passed to {@link #onPolicyState}. */
+  public void extendLease(long leaseEnd) {
+    leaseUntil = Math.max(leaseUntil, leaseEnd);
     hadLease = true;
   }
 
@@ -106,7 +106,7 @@
    *
    * @param name the name under which the subscriber's connection was established
    */
-  public void receive(long now, String name, Request request) {
+  public void onRequest(long now, String name, Request request) {
     if (request instanceof Renew renew) {
       renew(now, name, renew);
     } else if (request instanceof Fetch fetch) {
@@ -138,8 +138,8 @@
       sender.accept(name, new Rejected("not of this fleet"));
       return;
     }
-    if (!leased(now)) {
-      sender.accept(name, new Deferred(settings.renewEvery(), true));
+    if (!hasLease(now)) {
+      sender.accept(name, new Deferred(settings.renewPeriodMicros(), true));
       return;
     }
     Session session = findOrAdmit(now, name, renew.incarnation());
@@ -157,20 +157,20 @@
       return existing;
     }
     Session former = sessions.get(name);
-    if (former == null && sessions.size() >= settings.mostSubscribers()) {
-      sender.accept(name, new Deferred(settings.backoffMost(), true));
+    if (former == null && sessions.size() >= settings.maxSubscribers()) {
+      sender.accept(name, new Deferred(settings.maxBackoffMicros(), true));
       return null;
     }
-    if (!admits(now)) {
+    if (!tryAdmit(now)) {
       counters.deferred++;
-      sender.accept(name, new Deferred(admission.after(now), false));
+      sender.accept(name, new Deferred(admission.retryAfterMicros(now), false));
       return null;
     }
     if (former != null && !state.isPending(former.preparedVersion)) {
       formerLeasesUntil = Math.max(formerLeasesUntil, former.leaseUntil);
     }
     counters.admitted++;
-    int burst = Math.max(2 * settings.chunk(), settings.bytesPerSecond());
+    int burst = Math.max(2 * settings.maxChunkBytes(), settings.bytesPerSecond());
     Session session = new Session(incarnation, new TokenBucket(now, settings.bytesPerSecond(), burst));
     session.lastHeardAt = now;
     sessions.put(name, session);
@@ -178,8 +178,8 @@
   }
 
   private void replyToRenewal(long now, String name, Session session, Renew renew) {
-    if (ahead(renew)) {
-      sender.accept(name, new Deferred(settings.renewEvery(), true));
+    if (isAhead(renew)) {
+      sender.accept(name, new Deferred(settings.renewPeriodMicros(), true));
       return;
     }
     if (renew.prepared() != 0) {
@@ -188,56 +188,58 @@
     boolean current = renew.held() == state.inForce().version();
     if (!current) {
       offer(name, session, state.inForce(), false);
-    } else if (state.pending() != null && session.preparedVersion != state.latest()) {
+    } else if (state.pending() != null && session.preparedVersion != state.latestVersion()) {
       offer(name, session, state.pending(), true);
     }
-    if (current && renew.prepared() == 0 && grants(now, session)) {
+    if (current && renew.prepared() == 0 && mayGrantLease(now, session)) {
       grant(now, name, session, renew.askedAt());
     }
   }
 
   /** Whether the subscriber has seen a later version than this distributor. */
-  protected boolean ahead(Renew renew) {
-    return renew.held() > state.inForce().version() || renew.prepared() > state.latest();
+  protected boolean isAhead(Renew renew) {
+    return renew.held() > state.inForce().version() || renew.prepared() > state.latestVersion();
   }
 
   private void offer(String name, Session session, Document document, boolean pending) {
-    int first = session.offeredVersion == document.version() ? 0 : settings.chunk();
+    int first = session.offeredVersion == document.version() ? 0 : settings.maxChunkBytes();
     session.offeredVersion = document.version();
-    sender.accept(name, transfer(document, session.heldVersion).offer(pending, first));
+    sender.accept(name, transferTo(document, session.heldVersion).offer(pending, first));
   }
 
   /** Returns the transfer to the target document for a subscriber that has the other version. */
-  protected Transfer transfer(Document target, long held) {
-    return transfers.to(target, held);
+  protected Transfer transferTo(Document target, long heldVersion) {
+    return transfers.transferTo(target, heldVersion);
   }
 
   private void grant(long now, String name, Session session, long askedAt) {
-    long durationMicros = leaseFor(now);
-    session.leaseUntil = Math.max(session.leaseUntil, now + (long) (durationMicros * (1 + DistributionSettings.DRIFT)));
+    long durationMicros = leaseMicrosAt(now);
+    session.leaseUntil = Math.max(session.leaseUntil,
+        now + (long) (durationMicros * (1 + DistributionSettings.MAX_CLOCK_DRIFT)));
     counters.granted++;
     sender.accept(name, new Granted(askedAt, state.inForce().version(), durationMicros));
   }
 
   /** Returns the duration of a lease granted now, in microseconds: it ends no later than the distributor's own. */
-  protected long leaseFor(long now) {
-    return Math.min(settings.lease(), leaseUntil - now);
+  protected long leaseMicrosAt(long now) {
+    return Math.min(settings.leaseMicros(), leaseUntil - now);
   }
 
   /** Whether this distributor has a lease from the leader. */
-  protected boolean leased(long now) {
+  protected boolean hasLease(long now) {
     return now < leaseUntil;
   }
 
   /** Whether one more subscriber is admitted now. */
-  protected boolean admits(long now) {
-    return admission.admits(now);
+  protected boolean tryAdmit(long now) {
+    return admission.tryAdmit(now);
   }
 
   /** Whether this subscriber, which has the version in force, may get a lease on it. */
-  protected boolean grants(long now, Session session) {
+  protected boolean mayGrantLease(long now, Session session) {
     return state.pending() == null
-        || !leasesStopped && session.preparedVersion != state.latest() && now < pendingSince + settings.stage();
+        || !leasesStopped && session.preparedVersion != state.latestVersion()
+        && now < pendingSince + settings.stagingMicros();
   }
 
   private void fetch(long now, String name, Fetch fetch) {
@@ -246,13 +248,14 @@
     if (session == null || !pending && fetch.version() != state.inForce().version()) {
       return;
     }
-    Transfer transfer = transfers.from(fetch.base(), pending ? state.pending() : state.inForce());
+    Transfer transfer = transfers.transferFrom(fetch.base(), pending ? state.pending() : state.inForce());
     if (transfer == null || fetch.offset() < 0 || fetch.offset() >= transfer.body().length) {
       return;
     }
-    int end = Math.min(transfer.body().length, fetch.offset() + settings.chunk());
+    int end = Math.min(transfer.body().length, fetch.offset() + settings.maxChunkBytes());
     byte[] bytes = Arrays.copyOfRange(transfer.body(), fetch.offset(), end);
-    if (session.byteBudget.take(now, bytes.length)) { // above the rate limit there is no reply; the subscriber retries
+    // above the rate limit there is no reply; the subscriber retries
+    if (session.byteBudget.tryTake(now, bytes.length)) {
       sender.accept(name, new Chunk(fetch.version(), fetch.base(), fetch.offset(), bytes));
     }
   }
@@ -261,7 +264,7 @@
    * Whether the pending version can be reported as prepared for all subscribers of this distributor. Once it can, no
    * lease is granted on the version before.
    */
-  public boolean prepared(long now) {
+  public boolean checkPrepared(long now) {
     if (state.pending() == null || now <= startedAt + maxLeaseMicros()) {
       return false; // leases granted before a restart may still be valid
     }
@@ -270,23 +273,23 @@
   }
 
   private long maxLeaseMicros() {
-    return (long) (settings.lease() * (1 + DistributionSettings.DRIFT));
+    return (long) (settings.leaseMicros() * (1 + DistributionSettings.MAX_CLOCK_DRIFT));
   }
 
   /** Whether no subscriber can hold a lease on the version before the pending one. */
   protected boolean allPrepared(long now) {
     return now > formerLeasesUntil && sessions.values().stream()
-        .allMatch(session -> session.preparedVersion == state.latest() || now > session.leaseUntil);
+        .allMatch(session -> session.preparedVersion == state.latestVersion() || now > session.leaseUntil);
   }
 
   /** Removes sessions that are silent and without a lease; to be called about once a second. */
-  public void expire(long now) {
-    long timeout = MAX_MISSED_RENEWALS * settings.renewEvery();
+  public void removeSilent(long now) {
+    long timeout = MAX_MISSED_RENEWALS * settings.renewPeriodMicros();
     sessions.values().removeIf(session -> now > session.leaseUntil && now - session.lastHeardAt > timeout);
   }
 
   /** Returns the number of subscribers. */
-  public int subscribers() {
+  public int subscriberCount() {
     return sessions.size();
   }
 
--- a/proxy/src/main/java/amberhoist/distribution/Document.java
+++ b/proxy/src/main/java/amberhoist/distribution/Document.java
@@ -6,7 +6,7 @@
 /** A document of the policy with its version. */
 public record Document(long version, byte[] bytes) {
   /** The empty document, before the first change. */
-  public static final Document NONE = new Document(0, new byte[0]);
+  public static final Document EMPTY = new Document(0, new byte[0]);
 
   /** Creates a document from its text. */
   public static Document of(long version, String text) {
--- a/proxy/src/main/java/amberhoist/distribution/Download.java
+++ b/proxy/src/main/java/amberhoist/distribution/Download.java
@@ -14,26 +14,26 @@
   Download(Offer offer) {
     this.offer = offer;
     body = new byte[offer.length()];
-    take(0, offer.first());
+    append(0, offer.first());
   }
 
   /** Whether this offer describes the same transfer. */
-  boolean continues(Offer next) {
+  boolean matches(Offer next) {
     return next.version() == offer.version() && next.base() == offer.base() && next.checksum() == offer.checksum()
         && next.length() == offer.length() && next.from() == offer.from() && next.removed() == offer.removed();
   }
 
   /** Takes over an offer of the same transfer; the version may have come into force since the first one. */
-  void renew(Offer next) {
+  void resume(Offer next) {
     offer = next;
   }
 
   /** Appends a chunk that follows the bytes received; ignores any other and returns false. */
-  boolean take(Chunk chunk) {
-    return chunk.version() == offer.version() && chunk.base() == offer.base() && take(chunk.offset(), chunk.bytes());
+  boolean append(Chunk chunk) {
+    return chunk.version() == offer.version() && chunk.base() == offer.base() && append(chunk.offset(), chunk.bytes());
   }
 
-  private boolean take(int offset, byte[] bytes) {
+  private boolean append(int offset, byte[] bytes) {
     if (offset != receivedBytes || bytes.length > body.length - receivedBytes) {
       return false;
     }
@@ -42,11 +42,11 @@
     return true;
   }
 
-  boolean complete() {
+  boolean isComplete() {
     return receivedBytes == body.length;
   }
 
-  int received() {
+  int receivedBytes() {
     return receivedBytes;
   }
 
--- a/proxy/src/main/java/amberhoist/distribution/PolicyState.java
+++ b/proxy/src/main/java/amberhoist/distribution/PolicyState.java
@@ -6,17 +6,18 @@
  * The state of the fleet's policy, as far as a controller knows it.
  *
  * @param inForce the document in force
- * @param latest the latest version, be it in force, pending or withdrawn
+ * @param latestVersion the latest version, be it in force, pending or withdrawn
  * @param pending the pending document, or null
  */
-public record PolicyState(Document inForce, long latest, Document pending) {
+public record PolicyState(Document inForce, long latestVersion, Document pending) {
   /** The state before the first change. */
-  public static final PolicyState EMPTY = new PolicyState(Document.NONE, 0, null);
+  public static final PolicyState EMPTY = new PolicyState(Document.EMPTY, 0, null);
 
   /** Returns the state that the replicated log has reached. */
   public static PolicyState of(Rollout rollout) {
-    Document pending = rollout.pending() ? Document.of(rollout.latest(), rollout.latestDocument()) : null;
-    return new PolicyState(Document.of(rollout.inForce(), rollout.document()), rollout.latest(), pending);
+    Document pending = rollout.isPending() ? Document.of(rollout.latestVersion(), rollout.latestDocument()) : null;
+    return new PolicyState(Document.of(rollout.inForceVersion(), rollout.inForceDocument()), rollout.latestVersion(),
+        pending);
   }
 
   /** Whether this version is pending. */
--- a/proxy/src/main/java/amberhoist/distribution/Subscriber.java
+++ b/proxy/src/main/java/amberhoist/distribution/Subscriber.java
@@ -40,7 +40,7 @@
   private int missedRenewals;
   private long renewAt;
   private long returnAt;
-  private Document inForce = Document.NONE;
+  private Document inForce = Document.EMPTY;
   private Document preparedDocument; // the prepared document, or null
   private long leaseUntil = NEVER;
   private long grantsValidFrom = NEVER; // grants for earlier requests are ignored
@@ -63,44 +63,45 @@
     this.incarnation = incarnation;
     this.distributors = List.copyOf(distributors);
     this.sender = sender;
-    backoff = new Backoff(now, settings.backoffFirst(), settings.backoffMost(), random);
-    budget = new TokenBucket(now, settings.bytesPerSecond(), Math.max(2 * settings.chunk(), settings.bytesPerSecond()));
-    renewAt = now + (long) (settings.renewEvery() * random.nextDouble());
-    returnAt = now + backoff.jitter(settings.returnEvery());
+    backoff = new Backoff(now, settings.minBackoffMicros(), settings.maxBackoffMicros(), random);
+    budget = new TokenBucket(now, settings.bytesPerSecond(),
+        Math.max(2 * settings.maxChunkBytes(), settings.bytesPerSecond()));
+    renewAt = now + (long) (settings.renewPeriodMicros() * random.nextDouble());
+    returnAt = now + backoff.withJitter(settings.returnPeriodMicros());
   }
 
   /** Returns the policy version that decisions may use now, or -1 without a lease or with a change pending. */
-  public long decides(long now) {
+  public long usableVersion(long now) {
     return preparedDocument == null && now < leaseUntil ? inForce.version() : -1;
   }
 
   /** Returns the document in force, as far as this subscriber knows. */
-  public Document held() {
+  public Document inForce() {
     return inForce;
   }
 
   /** Returns the remaining time of the lease in microseconds, 0 where there is none. */
-  public long leaseLeft(long now) {
+  public long leaseLeftMicros(long now) {
     return leaseUntil == NEVER ? 0 : Math.max(0, leaseUntil - now);
   }
 
   /** Returns the name of the current distributor. */
-  public String distributor() {
+  public String currentDistributor() {
     return distributors.get(targetIndex);
   }
 
   /** Returns the number of transfers that were invalid or did not match the checksum of their offer. */
-  public long corrupt() {
+  public long corruptTransfers() {
     return corruptTransfers;
   }
 
   /** Returns the number of changes to another distributor. */
-  public long moves() {
+  public long distributorChanges() {
     return distributorChanges;
   }
 
   /** Returns when {@link #step} is to be called next. */
-  public long nextStep() {
+  public long nextStepAt() {
     return Math.min(renewAt, fetchAt);
   }
 
@@ -111,20 +112,20 @@
         changeToNext(now, 0);
       } else {
         missedRenewals++;
-        renew(now, distributor());
+        renew(now, currentDistributor());
       }
     }
     if (now >= fetchAt) {
       fetchNextChunk(now);
     }
     if (targetIndex != 0 && now >= returnAt) {
-      returnAt = now + backoff.jitter(settings.returnEvery());
+      returnAt = now + backoff.withJitter(settings.returnPeriodMicros());
       send(distributors.get(0), renewal(now)); // on a reply the subscriber changes back to it
     }
   }
 
   private void renew(long now, String distributor) {
-    renewAt = now + settings.renewEvery();
+    renewAt = now + settings.renewPeriodMicros();
     send(distributor, renewal(now));
   }
 
@@ -144,26 +145,26 @@
     missedRenewals = 0;
     hasTargetAnswered = false;
     fetchAt = Long.MAX_VALUE;
-    renewAt = now + Math.max(minDelay, backoff.failed(now));
+    renewAt = now + Math.max(minDelay, backoff.delayAfterFailure(now));
   }
 
   private void changeTo(int next) {
-    formerDistributor = distributor();
+    formerDistributor = currentDistributor();
     targetIndex = next;
     distributorChanges++;
   }
 
   /** Notifies the former distributor that its lease is no longer used, so that no change waits for the lease's end. */
   private void releaseFormerLease() {
-    if (formerDistributor != null && !formerDistributor.equals(distributor())) {
+    if (formerDistributor != null && !formerDistributor.equals(currentDistributor())) {
       send(formerDistributor, new Leave(name, incarnation));
     }
     formerDistributor = null;
   }
 
   /** The connection to this distributor was closed. */
-  public void disconnected(long now, String distributor) {
-    if (distributor.equals(distributor())) {
+  public void onDisconnected(long now, String distributor) {
+    if (distributor.equals(currentDistributor())) {
       changeToNext(now, 0);
     }
   }
@@ -171,19 +172,19 @@
   /** Stops, and gives up the lease. */
   public void leave() {
     leaseUntil = NEVER;
-    send(distributor(), new Leave(name, incarnation));
+    send(currentDistributor(), new Leave(name, incarnation));
   }
 
   /** Handles a reply of a distributor, and charges the length of its message to the byte budget. */
-  public void receive(long now, String distributor, Reply reply, int bytes) {
+  public void onReply(long now, String distributor, Reply reply, int messageBytes) {
     boolean isRejection = reply instanceof Deferred || reply instanceof Rejected;
-    if (!distributor.equals(distributor())) {
+    if (!distributor.equals(currentDistributor())) {
       if (isRejection || !distributor.equals(distributors.get(0)) || targetIndex == 0) {
         return; // from a former distributor, or a rejection from the preferred one
       }
       changeTo(0);
     }
-    budget.spend(now, bytes);
+    budget.charge(now, messageBytes);
     missedRenewals = 0;
     if (isRejection) {
       onRejection(now, reply);
@@ -191,7 +192,7 @@
     }
     if (!hasTargetAnswered) {
       hasTargetAnswered = true;
-      backoff.succeeded();
+      backoff.onSuccess();
     }
     if (reply instanceof Status status) {
       onStatus(now, status);
@@ -206,17 +207,17 @@
 
   private void onRejection(long now, Reply reply) {
     if (reply instanceof Deferred deferred && !deferred.elsewhere()) {
-      renewAt = now + Math.min(deferred.after(), 2 * settings.backoffMost());
+      renewAt = now + Math.min(deferred.after(), 2 * settings.maxBackoffMicros());
     } else {
-      changeToNext(now, reply instanceof Rejected ? settings.backoffMost() : 0);
+      changeToNext(now, reply instanceof Rejected ? settings.maxBackoffMicros() : 0);
     }
   }
 
   private void onGranted(long now, Granted granted) {
     boolean isCurrent = granted.askedAt() >= grantsValidFrom && granted.askedAt() <= now;
     if (preparedDocument == null && isCurrent && granted.version() == inForce.version()) {
-      long durationMicros = Math.min(granted.length(), settings.lease());
-      long end = granted.askedAt() + (long) (durationMicros * (1 - DistributionSettings.DRIFT));
+      long durationMicros = Math.min(granted.length(), settings.leaseMicros());
+      long end = granted.askedAt() + (long) (durationMicros * (1 - DistributionSettings.MAX_CLOCK_DRIFT));
       if (end >= leaseUntil) {
         leaseUntil = end;
         releaseFormerLease();
@@ -238,17 +239,17 @@
     if (status.inForce() == prepared.version()) {
       install(now, prepared);
     } else {
-      renew(now, distributor());
+      renew(now, currentDistributor());
     }
   }
 
   /** Whether this version is later than the one in force here. */
-  protected boolean advances(long version) {
+  protected boolean isNewer(long version) {
     return version > inForce.version();
   }
 
   private void install(long now, Document document) {
-    if (!advances(document.version())) {
+    if (!isNewer(document.version())) {
       return;
     }
     inForce = document;
@@ -256,7 +257,7 @@
     if (preparedDocument != null && preparedDocument.version() <= document.version()) {
       preparedDocument = null;
     }
-    renew(now, distributor());
+    renew(now, currentDistributor());
   }
 
   /** Drops the lease, and ignores grants for earlier requests: they are on another version, or counted as given up. */
@@ -266,7 +267,7 @@
   }
 
   private void onOffer(long now, Offer offer) {
-    if (!advances(offer.version()) || offer.length() < 0 || offer.length() > Transfer.LARGEST) {
+    if (!isNewer(offer.version()) || offer.length() < 0 || offer.length() > Transfer.MAX_DOCUMENT_BYTES) {
       return;
     }
     if (preparedDocument != null && offer.version() <= preparedDocument.version()) {
@@ -275,8 +276,8 @@
       }
       return;
     }
-    if (download != null && download.continues(offer)) {
-      download.renew(offer);
+    if (download != null && download.matches(offer)) {
+      download.resume(offer);
     } else {
       download = new Download(offer);
     }
@@ -284,14 +285,14 @@
   }
 
   private void onChunk(long now, Chunk chunk) {
-    if (download != null && download.take(chunk)) {
+    if (download != null && download.append(chunk)) {
       continueDownload(now);
     }
   }
 
   private void continueDownload(long now) {
-    if (!download.complete()) {
-      fetchAt = now + budget.microsUntil(now, settings.chunk() + MESSAGE_OVERHEAD_BYTES);
+    if (!download.isComplete()) {
+      fetchAt = now + budget.microsUntil(now, settings.maxChunkBytes() + MESSAGE_OVERHEAD_BYTES);
       return;
     }
     Download complete = download;
@@ -299,7 +300,7 @@
     fetchAt = Long.MAX_VALUE;
     try {
       Document document = complete.transfer().apply(inForce);
-      if (sound(document, complete.offer().checksum())) {
+      if (hasChecksum(document, complete.offer().checksum())) {
         needsSnapshot = false;
         acceptDocument(now, document, complete.offer().pending());
         return;
@@ -312,19 +313,19 @@
   }
 
   /** Whether the document has the checksum of its offer. */
-  protected boolean sound(Document document, long checksum) {
+  protected boolean hasChecksum(Document document, long checksum) {
     return document.checksum() == checksum;
   }
 
   /** Requests the next chunk, and again later if it does not arrive. */
   private void fetchNextChunk(long now) {
-    if (download == null || download.complete()) {
+    if (download == null || download.isComplete()) {
       fetchAt = Long.MAX_VALUE;
       return;
     }
     Offer offer = download.offer();
-    fetchAt = now + 2 * settings.renewEvery();
-    send(distributor(), new Fetch(name, incarnation, offer.version(), offer.base(), download.received()));
+    fetchAt = now + 2 * settings.renewPeriodMicros();
+    send(currentDistributor(), new Fetch(name, incarnation, offer.version(), offer.base(), download.receivedBytes()));
   }
 
   /** Installs a document in force, or prepares a pending one; none may be used then until the change is concluded. */
@@ -338,6 +339,6 @@
       dropLease(now);
       releaseFormerLease();
     }
-    send(distributor(), new Prepared(name, incarnation, document.version()));
+    send(currentDistributor(), new Prepared(name, incarnation, document.version()));
   }
 }
--- a/proxy/src/main/java/amberhoist/distribution/TokenBucket.java
+++ b/proxy/src/main/java/amberhoist/distribution/TokenBucket.java
@@ -18,7 +18,7 @@
   }
 
   /** Takes the tokens if there are enough; otherwise takes none and returns false. */
-  boolean take(long now, double count) {
+  boolean tryTake(long now, double count) {
     refill(now);
     if (tokens < count) {
       return false;
@@ -28,7 +28,7 @@
   }
 
   /** Takes tokens for work that is done already; the bucket may become negative. */
-  void spend(long now, double count) {
+  void charge(long now, double count) {
     refill(now);
     tokens -= count;
   }
--- a/proxy/src/main/java/amberhoist/distribution/Transfer.java
+++ b/proxy/src/main/java/amberhoist/distribution/Transfer.java
@@ -20,11 +20,11 @@
  */
 public record Transfer(long version, long base, int from, int removed, long checksum, byte[] body) {
   /** Max. size of a document in bytes. */
-  public static final int LARGEST = 4 << 20;
+  public static final int MAX_DOCUMENT_BYTES = 4 << 20;
 
   private static final int BUFFER_BYTES = 8 << 10;
 
-  /** Creates the transfer from one document to another; {@link Document#NONE} as the base makes it a snapshot. */
+  /** Creates the transfer from one document to another; {@link Document#EMPTY} as the base makes it a snapshot. */
   public static Transfer between(Document base, Document target) {
     byte[] baseBytes = base.bytes();
     byte[] targetBytes = target.bytes();
@@ -66,12 +66,12 @@
    * @throws DataFormatException when the base, the range or the body is invalid, or the result too large
    */
   public Document apply(Document held) throws DataFormatException {
-    Document baseDocument = base == 0 ? Document.NONE : held;
+    Document baseDocument = base == 0 ? Document.EMPTY : held;
     if (baseDocument.version() != base || from < 0 || removed < 0
         || from + (long) removed > baseDocument.bytes().length) {
       throw new DataFormatException("a transfer from version " + base + " does not apply to version " + held.version());
     }
-    byte[] inserted = inflate(body, LARGEST - (baseDocument.bytes().length - removed));
+    byte[] inserted = inflate(body, MAX_DOCUMENT_BYTES - (baseDocument.bytes().length - removed));
     byte[] result = new byte[baseDocument.bytes().length - removed + inserted.length];
     System.arraycopy(baseDocument.bytes(), 0, result, 0, from);
     System.arraycopy(inserted, 0, result, from, inserted.length);
--- a/proxy/src/main/java/amberhoist/distribution/Transfers.java
+++ b/proxy/src/main/java/amberhoist/distribution/TransferCache.java
@@ -8,9 +8,9 @@
  * The transfers that a distributor can serve: deltas from the documents that it keeps, and snapshots for subscribers
  * of other versions. Both the documents and the computed transfers are bounded.
  */
-public final class Transfers {
+public final class TransferCache {
   private static final int MAX_BASES = 64;
-  private static final int MAX_BASE_BYTES = 2 * Transfer.LARGEST;
+  private static final int MAX_BASE_BYTES = 2 * Transfer.MAX_DOCUMENT_BYTES;
   private static final int MAX_CACHED_TRANSFERS = 64;
 
   private record Key(long base, long version) {}
@@ -27,7 +27,7 @@
   private long baseBytes;
 
   /** Keeps a document in force as a base for deltas, and evicts the oldest ones above the bounds. */
-  public void keep(Document document) {
+  public void keepBase(Document document) {
     Document replaced = bases.put(document.version(), document);
     baseBytes += document.bytes().length - (replaced == null ? 0 : replaced.bytes().length);
     while (bases.size() > 1 && (bases.size() > MAX_BASES || baseBytes > MAX_BASE_BYTES)) {
@@ -36,14 +36,14 @@
   }
 
   /** Returns the transfer to this document for a subscriber that has the other version. */
-  public Transfer to(Document target, long held) {
-    Document base = bases.getOrDefault(held, Document.NONE);
-    return cached(base.version() < target.version() ? base : Document.NONE, target);
+  public Transfer transferTo(Document target, long heldVersion) {
+    Document base = bases.getOrDefault(heldVersion, Document.EMPTY);
+    return cached(base.version() < target.version() ? base : Document.EMPTY, target);
   }
 
   /** Returns the transfer between these versions, or null if the base is not kept. */
-  public Transfer from(long base, Document target) {
-    Document baseDocument = base == 0 ? Document.NONE : bases.get(base);
+  public Transfer transferFrom(long baseVersion, Document target) {
+    Document baseDocument = baseVersion == 0 ? Document.EMPTY : bases.get(baseVersion);
     return baseDocument == null ? null : cached(baseDocument, target);
   }
 
--- a/proxy/src/main/java/amberhoist/distribution/controller/Controller.java
+++ b/proxy/src/main/java/amberhoist/distribution/controller/Controller.java
@@ -8,7 +8,7 @@
 import amberhoist.distribution.controller.PeerMessage.Redirect;
 import amberhoist.distribution.controller.PeerMessage.StateUpdate;
 import amberhoist.group.GroupMember;
-import amberhoist.group.Member;
+import amberhoist.group.MemberId;
 import amberhoist.rollout.Leases;
 import amberhoist.rollout.Rollout;
 import java.util.List;
@@ -26,22 +26,22 @@
   private static final long REPORT_PERIOD_MICROS = 300_000;
 
   /** Sends messages to the controllers, this one included. */
-  public interface Peers {
+  public interface PeerLink {
     /** Sends a message to the controller of this name; it may get lost. */
-    void send(String controller, PeerMessage message);
+    void send(String receiver, PeerMessage message);
   }
 
   private final String name;
   private final List<String> controllers;
   private final GroupMember member; // null for a replica
   private final Replica replica; // null for a member
-  private final Follower replicatedState;
+  private final ReplicatedState replicatedState;
   private final Distributor distributor;
-  private final Peers peers;
+  private final PeerLink peers;
   private final LongSupplier clock;
-  private final Leases.Holder memberLease = new Leases.Holder();
+  private final Leases.MemberLease memberLease = new Leases.MemberLease();
   private final ReplicaFeed feed = new ReplicaFeed();
-  private Leases.Granter leaderLeases;
+  private Leases.LeaderLeases leaderLeases;
   private int leaderTerm = -1;
   private long publishedVersion = -1;
   private boolean publishedPending;
@@ -50,7 +50,7 @@
   private long reportAt = Long.MIN_VALUE;
 
   private Controller(String name, List<String> controllers, GroupMember member, Replica replica,
-      Distributor distributor, Peers peers, LongSupplier clock) {
+      Distributor distributor, PeerLink peers, LongSupplier clock) {
     this.name = name;
     this.controllers = List.copyOf(controllers);
     this.member = member;
@@ -67,26 +67,26 @@
    * @param controllers names of all controllers, including this one
    * @param clock monotonic clock, in microseconds
    */
-  public static Controller member(Member self, List<String> controllers, GroupMember member, Distributor distributor,
-      Peers peers, LongSupplier clock) {
+  public static Controller member(MemberId self, List<String> controllers, GroupMember member, Distributor distributor,
+      PeerLink peers, LongSupplier clock) {
     return new Controller(self.name(), controllers, member, null, distributor, peers, clock);
   }
 
   /** Creates a controller that is no member of the group, and gets the state from the leader among these voters. */
   public static Controller replica(String name, List<String> controllers, List<String> voters, Distributor distributor,
-      Peers peers, LongSupplier clock) {
+      PeerLink peers, LongSupplier clock) {
     Replica replica = new Replica(voters, name.hashCode());
     return new Controller(name, controllers, null, replica, distributor, peers, clock);
   }
 
   /** The state has changed: passes it to the distributor, before a lease that requires it, and to replicas. */
-  public void learned() {
+  public void onStateChanged() {
     PolicyState state = replicatedState.state();
-    distributor.policy(clock.getAsLong(), state);
+    distributor.onPolicyState(clock.getAsLong(), state);
     updateDistributorLease();
-    boolean changed = publishedVersion != state.latest() || publishedPending != (state.pending() != null);
-    if (changed && leads()) {
-      publishedVersion = state.latest();
+    boolean changed = publishedVersion != state.latestVersion() || publishedPending != (state.pending() != null);
+    if (changed && isLeader()) {
+      publishedVersion = state.latestVersion();
       publishedPending = state.pending() != null;
       feed.replicas().forEach(each -> peers.send(each, updateFor(each)));
     }
@@ -94,13 +94,13 @@
 
   private StateUpdate updateFor(String replicaName) {
     boolean prepared = member.rollout().prepared().contains(replicaName);
-    return feed.update(replicaName, member.applied(), replicatedState.state(), prepared);
+    return feed.updateFor(replicaName, member.appliedIndex(), replicatedState.state(), prepared);
   }
 
   /** Performs periodic work; to be called every few tens of milliseconds. */
-  public void turn() {
+  public void step() {
     long now = clock.getAsLong();
-    if (leads()) {
+    if (isLeader()) {
       concludeChange(now);
     }
     if (replicatedState.leader() != null) {
@@ -108,12 +108,12 @@
     }
     if (now >= expireAt) {
       expireAt = now + EXPIRE_PERIOD_MICROS;
-      distributor.expire(now);
+      distributor.removeSilent(now);
     }
   }
 
   /** Whether this controller is the leader, as far as it knows. */
-  public boolean leads() {
+  public boolean isLeader() {
     return member != null && member.leader() != null && member.leader().name().equals(name);
   }
 
@@ -123,16 +123,17 @@
   }
 
   private void reportAndRenew(long now) {
-    boolean isReportDue = now >= reportAt && replicatedState.state().pending() != null && !replicatedState.prepared();
-    if (isReportDue && distributor.prepared(now)) {
+    boolean isReportDue = now >= reportAt && replicatedState.state().pending() != null
+        && !replicatedState.hasPrepared();
+    if (isReportDue && distributor.checkPrepared(now)) {
       reportAt = now + REPORT_PERIOD_MICROS;
-      peers.send(replicatedState.leader(), new PreparedReport(replicatedState.state().latest()));
+      peers.send(replicatedState.leader(), new PreparedReport(replicatedState.state().latestVersion()));
     }
     if (now >= renewAt) {
       renewAt = now + RENEW_PERIOD_MICROS;
       PolicyState state = replicatedState.state();
-      LeaseRequest request = replica != null ? replica.request(now)
-          : new LeaseRequest(now, state.inForce().version(), state.latest(), false);
+      LeaseRequest request = replica != null ? replica.nextRequest(now)
+          : new LeaseRequest(now, state.inForce().version(), state.latestVersion(), false);
       peers.send(replicatedState.leader(), request);
     }
   }
@@ -140,16 +141,16 @@
   private void concludeChange(long now) {
     if (leaderTerm != member.term()) {
       leaderTerm = member.term();
-      leaderLeases = new Leases.Granter(now);
+      leaderLeases = new Leases.LeaderLeases(now);
     }
-    byte[] command = leaderLeases.conclude(now, controllers, member.rollout());
+    byte[] command = leaderLeases.conclusionCommand(now, controllers, member.rollout());
     if (command != null) {
-      member.command(command);
+      member.replicate(command);
     }
   }
 
   /** Handles a message from another controller, or from this one. */
-  public void receive(String from, PeerMessage message) {
+  public void onMessage(String from, PeerMessage message) {
     if (message instanceof LeaseRequest request && member != null) {
       onLeaseRequest(from, request);
     } else if (message instanceof LeaseGrant grant) {
@@ -157,68 +158,68 @@
     } else if (message instanceof StateUpdate update && replica != null) {
       applyUpdate(update);
     } else if (message instanceof Redirect redirect && replica != null) {
-      replica.redirected(redirect.leader());
+      replica.onRedirected(redirect.leader());
       renewAt = redirect.leader() == null ? renewAt : Long.MIN_VALUE;
-    } else if (message instanceof PreparedReport report && leads()
+    } else if (message instanceof PreparedReport report && isLeader()
         && !member.rollout().prepared().contains(from)) {
-      member.command(Rollout.prepared(from, report.version()));
+      member.replicate(Rollout.prepared(from, report.version()));
     }
   }
 
   private void onLeaseGranted(String from, LeaseGrant grant) {
     if (replica != null) {
-      replica.answered(from);
+      replica.onAnswered(from);
       if (grant.update() != null) {
         applyUpdate(grant.update());
       }
     }
-    memberLease.granted(grant.askedAt(), grant.index());
+    memberLease.onGranted(grant.askedAt(), grant.requiredIndex());
     updateDistributorLease();
   }
 
   private void applyUpdate(StateUpdate update) {
-    if (replica.take(update)) {
-      learned();
+    if (replica.apply(update)) {
+      onStateChanged();
     }
   }
 
   /** Passes the lease to the distributor once the log is known up to the index that the lease requires. */
   private void updateDistributorLease() {
-    long until = memberLease.until(replicatedState.applied());
+    long until = memberLease.expiresAt(replicatedState.appliedIndex());
     if (until > clock.getAsLong()) {
-      distributor.lease(until);
+      distributor.extendLease(until);
     }
   }
 
   /** Grants a lease if a quorum confirms, after the request, that this controller is the leader. */
   private void onLeaseRequest(String requester, LeaseRequest request) {
     int term = member.term();
-    if (!leads() || leaderTerm != term) {
-      peers.send(requester, new Redirect(member.leader() == null || leads() ? null : member.leader().name()));
+    if (!isLeader() || leaderTerm != term) {
+      peers.send(requester, new Redirect(member.leader() == null || isLeader() ? null : member.leader().name()));
       return;
     }
-    if (request.replica()) {
-      feed.knows(requester, request);
+    if (request.isReplica()) {
+      feed.onRequest(requester, request);
     }
-    member.confirm().whenComplete((confirmed, fault) -> {
-      boolean isStillLeader = fault == null && leads() && member.term() == term;
-      if (isStillLeader && leaderLeases.grants(requester, clock.getAsLong(), member.rollout())) {
-        StateUpdate update = request.replica() ? updateFor(requester) : null;
+    member.confirmLeadership().whenComplete((confirmed, fault) -> {
+      boolean isStillLeader = fault == null && isLeader() && member.term() == term;
+      if (isStillLeader && leaderLeases.tryGrant(requester, clock.getAsLong(), member.rollout())) {
+        StateUpdate update = request.isReplica() ? updateFor(requester) : null;
         peers.send(requester, new LeaseGrant(request.askedAt(), confirmed.getCommitIndex(), update));
       }
     });
   }
 
   /** The replicated state at a member of the group. */
-  private final class MemberState implements Follower {
+  private final class MemberState implements ReplicatedState {
     @Override
     public String leader() {
       return member.leader() == null ? null : member.leader().name();
     }
 
     @Override
-    public long applied() {
-      return member.applied();
+    public long appliedIndex() {
+      return member.appliedIndex();
     }
 
     @Override
@@ -227,7 +228,7 @@
     }
 
     @Override
-    public boolean prepared() {
+    public boolean hasPrepared() {
       return member.rollout().prepared().contains(name);
     }
   }
--- a/proxy/src/main/java/amberhoist/distribution/controller/PeerMessage.java
+++ b/proxy/src/main/java/amberhoist/distribution/controller/PeerMessage.java
@@ -8,20 +8,21 @@
    * Requests a lease from the leader.
    *
    * @param askedAt time of this request by the sender's clock, returned with the grant
-   * @param inForce version in force that the sender has
-   * @param latest latest version that the sender knows
-   * @param replica whether the sender is no member of the group, so that it gets the policy from the leader only
+   * @param inForceVersion version in force that the sender has
+   * @param latestVersion latest version that the sender knows
+   * @param isReplica whether the sender is no member of the group, so that it gets the policy from the leader only
    */
-  record LeaseRequest(long askedAt, long inForce, long latest, boolean replica) implements PeerMessage {}
+  record LeaseRequest(long askedAt, long inForceVersion, long latestVersion, boolean isReplica)
+      implements PeerMessage {}
 
   /**
    * Grants a lease.
    *
    * @param askedAt that of the request
-   * @param index the lease is valid once the log is known up to this index
+   * @param requiredIndex the lease is valid once the log is known up to this index
    * @param update the state for a replica, null for a member
    */
-  record LeaseGrant(long askedAt, long index, StateUpdate update) implements PeerMessage {}
+  record LeaseGrant(long askedAt, long requiredIndex, StateUpdate update) implements PeerMessage {}
 
   /** The controller that was asked grants no leases; {@code leader} is the leader that it knows of, or null. */
   record Redirect(String leader) implements PeerMessage {}
@@ -32,10 +33,12 @@
   /**
    * The replicated state at a log index, for a replica.
    *
-   * @param toInForce transfer from a document of the replica to the one in force, null if the replica has that
-   * @param toPending transfer from the document in force to the pending one, null if there is none or it is there
-   * @param prepared whether, by the log, this replica has prepared the pending version
+   * @param transferToInForce transfer from a document of the replica to the one in force, null if the replica has that
+   * @param transferToPending transfer from the document in force to the pending one, null if there is none or it is
+   * there
+   * @param hasPrepared whether, by the log, this replica has prepared the pending version
    */
-  record StateUpdate(long index, long inForce, long latest, boolean pending, Transfer toInForce, Transfer toPending,
-      boolean prepared) implements PeerMessage {}
+  record StateUpdate(long index, long inForceVersion, long latestVersion, boolean isPending, Transfer transferToInForce,
+      Transfer transferToPending,
+      boolean hasPrepared) implements PeerMessage {}
 }
--- a/proxy/src/main/java/amberhoist/distribution/controller/Replica.java
+++ b/proxy/src/main/java/amberhoist/distribution/controller/Replica.java
@@ -13,7 +13,7 @@
  * after a prefix of the one log, so the update with the highest index wins, whichever leader sent it. Nothing is stored
  * on disk.
  */
-final class Replica implements Follower {
+final class Replica implements ReplicatedState {
   private final List<String> voters;
   private int voterIndex;
   private String leader;
@@ -38,7 +38,7 @@
   }
 
   @Override
-  public long applied() {
+  public long appliedIndex() {
     return appliedIndex;
   }
 
@@ -48,28 +48,28 @@
   }
 
   @Override
-  public boolean prepared() {
+  public boolean hasPrepared() {
     return hasPrepared;
   }
 
   /** Returns the next lease request. It goes to the next voter if the one before was not answered. */
-  LeaseRequest request(long now) {
+  LeaseRequest nextRequest(long now) {
     if (!isAnswered) {
       leader = null;
       voterIndex++;
     }
     isAnswered = false;
-    return new LeaseRequest(now, state.inForce().version(), state.latest(), true);
+    return new LeaseRequest(now, state.inForce().version(), state.latestVersion(), true);
   }
 
   /** The leader has answered the request. */
-  void answered(String controller) {
+  void onAnswered(String controller) {
     isAnswered = true;
     leader = controller;
   }
 
   /** The voter that was asked is not the leader; {@code newLeader} is the leader that it knows of, or null. */
-  void redirected(String newLeader) {
+  void onRedirected(String newLeader) {
     isAnswered = newLeader != null && voters.contains(newLeader);
     leader = isAnswered ? newLeader : null;
   }
@@ -78,18 +78,19 @@
    * Applies an update. Returns false if it is outdated or does not apply to the documents here; then it is ignored, and
    * the next request names the versions that this replica has.
    */
-  boolean take(StateUpdate update) {
+  boolean apply(StateUpdate update) {
     if (update.index() <= appliedIndex) {
       return false;
     }
-    Document inForce = document(update.inForce(), update.toInForce(), state.inForce());
-    Document pending = !update.pending() ? null : document(update.latest(), update.toPending(), inForce);
-    if (inForce == null || update.pending() && pending == null) {
+    Document inForce = document(update.inForceVersion(), update.transferToInForce(), state.inForce());
+    Document pending = !update.isPending() ? null
+        : document(update.latestVersion(), update.transferToPending(), inForce);
+    if (inForce == null || update.isPending() && pending == null) {
       return false;
     }
     appliedIndex = update.index();
-    state = new PolicyState(inForce, update.latest(), pending);
-    hasPrepared = update.prepared();
+    state = new PolicyState(inForce, update.latestVersion(), pending);
+    hasPrepared = update.hasPrepared();
     return true;
   }
 
--- a/proxy/src/main/java/amberhoist/distribution/controller/ReplicaFeed.java
+++ b/proxy/src/main/java/amberhoist/distribution/controller/ReplicaFeed.java
@@ -2,7 +2,7 @@
 
 import amberhoist.distribution.PolicyState;
 import amberhoist.distribution.Transfer;
-import amberhoist.distribution.Transfers;
+import amberhoist.distribution.TransferCache;
 import amberhoist.distribution.controller.PeerMessage.LeaseRequest;
 import amberhoist.distribution.controller.PeerMessage.StateUpdate;
 import java.util.HashMap;
@@ -14,11 +14,11 @@
   private record HeldVersions(long inForce, long latest) {}
 
   private final Map<String, HeldVersions> replicas = new HashMap<>();
-  private final Transfers transfers = new Transfers();
+  private final TransferCache transfers = new TransferCache();
 
   /** Notes the versions that a replica names in its request. */
-  void knows(String replica, LeaseRequest request) {
-    replicas.put(replica, new HeldVersions(request.inForce(), request.latest()));
+  void onRequest(String replica, LeaseRequest request) {
+    replicas.put(replica, new HeldVersions(request.inForceVersion(), request.latestVersion()));
   }
 
   /** Returns the replicas that have requested a lease so far. */
@@ -27,14 +27,16 @@
   }
 
   /** Returns the update of a replica to this state, which is that of the log at {@code index}. */
-  StateUpdate update(String replica, long index, PolicyState state, boolean prepared) {
-    transfers.keep(state.inForce());
+  StateUpdate updateFor(String replica, long index, PolicyState state, boolean prepared) {
+    transfers.keepBase(state.inForce());
     HeldVersions heldVersions = replicas.get(replica);
     long inForce = state.inForce().version();
     boolean holdsInForce = inForce == heldVersions.inForce() || inForce == heldVersions.latest();
     boolean holdsPending = state.isPending(heldVersions.latest());
-    Transfer toInForce = holdsInForce ? null : transfers.to(state.inForce(), heldVersions.inForce());
-    Transfer toPending = state.pending() == null || holdsPending ? null : transfers.to(state.pending(), inForce);
-    return new StateUpdate(index, inForce, state.latest(), state.pending() != null, toInForce, toPending, prepared);
+    Transfer toInForce = holdsInForce ? null : transfers.transferTo(state.inForce(), heldVersions.inForce());
+    Transfer toPending = state.pending() == null || holdsPending ? null
+        : transfers.transferTo(state.pending(), inForce);
+    return new StateUpdate(index, inForce, state.latestVersion(), state.pending() != null, toInForce, toPending,
+        prepared);
   }
 }
--- a/proxy/src/main/java/amberhoist/distribution/wire/MessageCodec.java
+++ b/proxy/src/main/java/amberhoist/distribution/wire/MessageCodec.java
@@ -16,7 +16,7 @@
 /** Encodes and decodes {@link Message}s. Thread-safe. */
 public final class MessageCodec {
   /** Max. length of a message in bytes; a longer one is rejected before it is parsed. */
-  public static final int LONGEST = 16 << 10;
+  public static final int MAX_MESSAGE_BYTES = 16 << 10;
 
   private static final int MAX_NESTING_DEPTH = 4;
   private static final int MAX_STRING_LENGTH = 1 << 10;
@@ -75,7 +75,7 @@
    * @throws MalformedMessageException when the bytes are no message, or more than the limit
    */
   public Message decode(byte[] bytes) throws MalformedMessageException {
-    if (bytes.length > LONGEST) {
+    if (bytes.length > MAX_MESSAGE_BYTES) {
       throw new MalformedMessageException("message of " + bytes.length + " bytes exceeds the limit", null);
     }
     try {
--- a/proxy/src/main/java/amberhoist/group/Frames.java
+++ b/proxy/src/main/java/amberhoist/group/FrameCodec.java
@@ -10,7 +10,7 @@
  * Encodes and decodes the frames of a log file: kind (1 byte), length of the payload (4), CRC-32C of both (4), payload,
  * its CRC-32C (4). The header has its own checksum so that a corrupt length is not mistaken for a torn write.
  */
-final class Frames {
+final class FrameCodec {
   private static final int HEADER_BYTES = 9;
   private static final int TRAILER_BYTES = 4;
   private static final int MAX_PAYLOAD_BYTES = 64 << 20;
@@ -21,14 +21,15 @@
   /**
    * The frames decoded from a file.
    *
-   * @param sound length in bytes of the valid part, up to the end of the last complete frame; the rest is a torn write
+   * @param validBytes length in bytes of the valid part, up to the end of the last complete frame; the rest is a torn
+   * write
    */
-  record Content(List<Frame> frames, int sound) {}
+  record DecodedFrames(List<Frame> frames, int validBytes) {}
 
-  private Frames() {}
+  private FrameCodec() {}
 
   /** Encodes a frame. */
-  static byte[] frame(int kind, byte[] payload) {
+  static byte[] encode(int kind, byte[] payload) {
     ByteBuffer frame = ByteBuffer.allocate(HEADER_BYTES + payload.length + TRAILER_BYTES);
     frame.put((byte) kind).putInt(payload.length);
     frame.putInt(checksum(frame.array(), 0, HEADER_BYTES - 4));
@@ -39,9 +40,9 @@
   /**
    * Decodes all frames. A torn write at the end is left out.
    *
-   * @throws DamagedLogException where the file is corrupt in any other way
+   * @throws CorruptLogException where the file is corrupt in any other way
    */
-  static Content read(byte[] file) throws DamagedLogException {
+  static DecodedFrames decode(byte[] file) throws CorruptLogException {
     List<Frame> frames = new ArrayList<>();
     ByteBuffer buffer = ByteBuffer.wrap(file);
     while (buffer.remaining() >= HEADER_BYTES && !onlyZeros(file, buffer.position())) {
@@ -49,22 +50,22 @@
       int kind = buffer.get();
       int length = buffer.getInt();
       if (buffer.getInt() != checksum(file, offset, HEADER_BYTES - 4) || length < 0 || length > MAX_PAYLOAD_BYTES) {
-        throw new DamagedLogException(offset, "the header of a frame does not match its checksum");
+        throw new CorruptLogException(offset, "the header of a frame does not match its checksum");
       }
       if (buffer.remaining() < length + TRAILER_BYTES) {
-        return new Content(frames, offset);
+        return new DecodedFrames(frames, offset);
       }
       byte[] payload = new byte[length];
       buffer.get(payload);
       if (buffer.getInt() != checksum(payload, 0, length)) {
         if (onlyZeros(file, offset + HEADER_BYTES + length)) {
-          return new Content(frames, offset); // torn write: the file has grown, but the data was not written
+          return new DecodedFrames(frames, offset); // torn write: the file has grown, but the data was not written
         }
-        throw new DamagedLogException(offset, "the payload of a frame does not match its checksum");
+        throw new CorruptLogException(offset, "the payload of a frame does not match its checksum");
       }
       frames.add(new Frame(kind, payload));
     }
-    return new Content(frames, buffer.position());
+    return new DecodedFrames(frames, buffer.position());
   }
 
   private static boolean onlyZeros(byte[] file, int from) {
@@ -83,7 +84,7 @@
   }
 
   /** Concatenates the parts. */
-  static byte[] join(List<byte[]> parts) {
+  static byte[] concatenate(List<byte[]> parts) {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     parts.forEach(all::writeBytes);
     return all.toByteArray();
--- a/proxy/src/main/java/amberhoist/group/GroupMember.java
+++ b/proxy/src/main/java/amberhoist/group/GroupMember.java
@@ -1,8 +1,8 @@
 package amberhoist.group;
 
+import amberhoist.rollout.PolicyVersions.ChangeResult;
+import amberhoist.rollout.PolicyVersions.PolicyChange;
 import amberhoist.rollout.Rollout;
-import amberhoist.rollout.Sequence.Change;
-import amberhoist.rollout.Sequence.Verdict;
 import io.microraft.Ordered;
 import io.microraft.QueryPolicy;
 import io.microraft.RaftConfig;
@@ -43,16 +43,16 @@
      * A committed command was applied.
      *
      * @param index the command's log index
-     * @param verdict the result of the change that the command proposes, null for other commands
+     * @param result the result of the change that the command proposes, null for other commands
      */
-    void applied(long index, byte[] command, Verdict verdict);
+    void onApplied(long index, byte[] command, ChangeResult result);
 
     /** A snapshot that includes the log up to this index has replaced the state. */
-    void installed(long index);
+    void onSnapshotInstalled(long index);
   }
 
   private final RaftNode node;
-  private final Log log;
+  private final RaftLog log;
   private final Rollout rollout;
   private long appliedIndex;
   private boolean needsRestart;
@@ -64,14 +64,15 @@
    * @param rollout the state machine in its initial state; the member applies the snapshot and the log to it
    * @param seed of the random election timeouts
    */
-  public GroupMember(Member self, Collection<Member> initialMembers, Log log, Rollout rollout, Transport transport,
+  public GroupMember(MemberId self, Collection<MemberId> initialMembers, RaftLog log, Rollout rollout,
+      Transport transport,
       RaftNodeExecutor executor, Clock clock, long seed, Listener listener) {
     this.rollout = rollout;
     this.log = log;
     RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId("policy").setConfig(RAFT_CONFIG).setStore(log)
         .setTransport(new FencedTransport(transport)).setExecutor(executor).setClock(clock).setRandom(new Random(seed))
         .setStateMachine(new RolloutStateMachine(listener));
-    RestoredRaftState restored = log.restored();
+    RestoredRaftState restored = log.restoredState();
     if (restored == null) {
       List<RaftEndpoint> endpoints = List.copyOf(initialMembers);
       builder.setLocalEndpoint(self).setInitialGroupMembers(endpoints);
@@ -96,7 +97,7 @@
       return;
     }
     if (message instanceof AppendEntriesRequest request && request.getTerm() >= term()
-        && request.getPreviousLogIndex() > 0 && request.getPreviousLogIndex() == log.covered()) {
+        && request.getPreviousLogIndex() > 0 && request.getPreviousLogIndex() == log.snapshotIndex()) {
       appendAfterSnapshot(request);
     } else {
       if (message instanceof PreVoteResponse response && !response.isGranted() && response.getTerm() > term() + 1) {
@@ -113,7 +114,7 @@
    * grants the vote, that is safe, since the sender may have it.
    */
   private void adoptTerm(PreVoteResponse rejection) {
-    node.handle(log.models().createVoteRequestBuilder().setGroupId(rejection.getGroupId())
+    node.handle(log.modelFactory().createVoteRequestBuilder().setGroupId(rejection.getGroupId())
         .setSender(rejection.getSender()).setTerm(rejection.getTerm()).setLastLogTerm(0).setLastLogIndex(0)
         .setSticky(false).build());
   }
@@ -128,18 +129,18 @@
   private void appendAfterSnapshot(AppendEntriesRequest request) throws IOException {
     List<LogEntry> entries = request.getLogEntries();
     int matching = 0;
-    while (matching < entries.size() && log.holds(entries.get(matching))) {
+    while (matching < entries.size() && log.contains(entries.get(matching))) {
       matching++;
     }
     if (matching > 0) {
       LogEntry last = entries.get(matching - 1);
-      node.handle(log.models().createAppendEntriesRequestBuilder().setGroupId(request.getGroupId())
+      node.handle(log.modelFactory().createAppendEntriesRequestBuilder().setGroupId(request.getGroupId())
           .setSender(request.getSender()).setTerm(request.getTerm()).setPreviousLogIndex(last.getIndex())
           .setPreviousLogTerm(last.getTerm()).setCommitIndex(request.getCommitIndex())
           .setLogEntries(entries.subList(matching, entries.size()))
           .setQuerySequenceNumber(request.getQuerySequenceNumber())
           .setFlowControlSequenceNumber(request.getFlowControlSequenceNumber()).build());
-    } else if (!entries.isEmpty() && log.differs(entries.get(0))) {
+    } else if (!entries.isEmpty() && log.conflictsWith(entries.get(0))) {
       log.truncateLogEntriesFrom(entries.get(0).getIndex());
       log.flush();
       needsRestart = true;
@@ -149,17 +150,17 @@
   }
 
   /** Whether the member handles nothing more until it is restarted from its log. */
-  public boolean stuck() {
+  public boolean needsRestart() {
     return needsRestart;
   }
 
   /** Proposes a change to the group; fails where this member is not the leader, or when the result is unknown. */
-  public CompletableFuture<Ordered<Verdict>> change(Change change) {
-    return failIfLogFailed(node.replicate(Rollout.propose(change)));
+  public CompletableFuture<Ordered<ChangeResult>> propose(PolicyChange change) {
+    return failIfLogFailed(node.replicate(Rollout.proposeCommand(change)));
   }
 
-  /** Replicates another command of {@link Rollout}; fails as {@link #change} does. */
-  public CompletableFuture<Ordered<Object>> command(byte[] command) {
+  /** Replicates another command of {@link Rollout}; fails as {@link #propose} does. */
+  public CompletableFuture<Ordered<Object>> replicate(byte[] command) {
     return failIfLogFailed(node.replicate(command));
   }
 
@@ -167,7 +168,7 @@
    * Completes once a quorum has confirmed, after this call, that this member is the leader. The result has the commit
    * index of that moment.
    */
-  public CompletableFuture<Ordered<Object>> confirm() {
+  public CompletableFuture<Ordered<Object>> confirmLeadership() {
     return failIfLogFailed(node.query(new byte[0], QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty()));
   }
 
@@ -179,18 +180,18 @@
   }
 
   /** Returns the index of the last log entry applied, or included in the snapshot installed. */
-  public long applied() {
+  public long appliedIndex() {
     return appliedIndex;
   }
 
-  /** Returns the state machine, as of {@link #applied}. */
+  /** Returns the state machine, as of {@link #appliedIndex}. */
   public Rollout rollout() {
     return rollout;
   }
 
   /** Whether no write to the log has failed. If one has, the member sends and applies nothing more: terminate it. */
-  public boolean sound() {
-    return log.sound();
+  public boolean isLogHealthy() {
+    return log.isHealthy();
   }
 
   /**
@@ -198,7 +199,7 @@
    * {@link #appendAfterSnapshot} has truncated the log.
    */
   private boolean stateMatchesLog() {
-    return log.sound() && !needsRestart;
+    return log.isHealthy() && !needsRestart;
   }
 
   private void checkLog() {
@@ -232,8 +233,8 @@
   }
 
   /** Returns the leader that this member knows of, or null. */
-  public Member leader() {
-    return (Member) node.getTerm().getLeaderEndpoint();
+  public MemberId leader() {
+    return (MemberId) node.getTerm().getLeaderEndpoint();
   }
 
   /** Returns the term of this member. */
@@ -257,8 +258,8 @@
       if (command.length == 0) {
         return null; // the first entry of a new term, or a linearizable query
       }
-      Verdict verdict = rollout.take(command);
-      listener.applied(index, command, verdict);
+      ChangeResult verdict = rollout.apply(command);
+      listener.onApplied(index, command, verdict);
       return verdict;
     }
 
@@ -269,9 +270,9 @@
 
     @Override
     public void installSnapshot(long index, List<Object> chunks) {
-      rollout.install((byte[]) chunks.get(0));
+      rollout.installSnapshot((byte[]) chunks.get(0));
       appliedIndex = Math.max(appliedIndex, index);
-      listener.installed(index);
+      listener.onSnapshotInstalled(index);
     }
 
     @Override
--- a/proxy/src/main/java/amberhoist/group/Codec.java
+++ b/proxy/src/main/java/amberhoist/group/LogPayloadCodec.java
@@ -21,13 +21,13 @@
  * Encodes and decodes the payloads of the log's frames: log entries, snapshot chunks and group members. The operation
  * of an entry is a command in bytes, a membership change, or null.
  */
-final class Codec {
+final class LogPayloadCodec {
   private static final int NO_OPERATION = 0;
   private static final int COMMAND = 1;
   private static final int MEMBERSHIP_CHANGE = 2;
   private static final int MAX_MEMBERS = 1024;
 
-  final RaftModelFactory models = new DefaultRaftModelFactory();
+  final RaftModelFactory modelFactory = new DefaultRaftModelFactory();
 
   /** Encodes one payload. */
   interface Writer {
@@ -39,13 +39,13 @@
     T read(DataInputStream in) throws IOException;
   }
 
-  static byte[] bytes(Writer writer) throws IOException {
+  static byte[] encode(Writer writer) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     writer.write(new DataOutputStream(bytes));
     return bytes.toByteArray();
   }
 
-  static <T> T of(byte[] bytes, Reader<T> reader) throws IOException {
+  static <T> T decode(byte[] bytes, Reader<T> reader) throws IOException {
     return reader.read(new DataInputStream(new ByteArrayInputStream(bytes)));
   }
 
@@ -56,7 +56,8 @@
   }
 
   LogEntry entry(DataInputStream in) throws IOException {
-    return models.createLogEntryBuilder().setIndex(in.readLong()).setTerm(in.readInt()).setOperation(operation(in))
+    return modelFactory.createLogEntryBuilder().setIndex(in.readLong()).setTerm(in.readInt())
+        .setOperation(operation(in))
         .build();
   }
 
@@ -66,23 +67,23 @@
     out.writeInt(chunk.getSnapshotChunkIndex());
     out.writeInt(chunk.getSnapshotChunkCount());
     operation(out, chunk.getOperation());
-    view(out, chunk.getGroupMembersView());
+    membersView(out, chunk.getGroupMembersView());
   }
 
   SnapshotChunk chunk(DataInputStream in) throws IOException {
-    return models.createSnapshotChunkBuilder().setIndex(in.readLong()).setTerm(in.readInt())
+    return modelFactory.createSnapshotChunkBuilder().setIndex(in.readLong()).setTerm(in.readInt())
         .setSnapshotChunkIndex(in.readInt()).setSnapshotChunkCount(in.readInt()).setOperation(operation(in))
-        .setGroupMembersView(view(in)).build();
+        .setGroupMembersView(membersView(in)).build();
   }
 
-  void view(DataOutputStream out, RaftGroupMembersView view) throws IOException {
+  void membersView(DataOutputStream out, RaftGroupMembersView view) throws IOException {
     out.writeLong(view.getLogIndex());
     members(out, view.getMembers());
     members(out, view.getVotingMembers());
   }
 
-  RaftGroupMembersView view(DataInputStream in) throws IOException {
-    return models.createRaftGroupMembersViewBuilder().setLogIndex(in.readLong()).setMembers(members(in))
+  RaftGroupMembersView membersView(DataInputStream in) throws IOException {
+    return modelFactory.createRaftGroupMembersViewBuilder().setLogIndex(in.readLong()).setMembers(members(in))
         .setVotingMembers(members(in)).build();
   }
 
@@ -114,7 +115,8 @@
         in.readFully(command);
         return command;
       case MEMBERSHIP_CHANGE:
-        return models.createUpdateRaftGroupMembersOpBuilder().setMembers(members(in)).setVotingMembers(members(in))
+        return modelFactory.createUpdateRaftGroupMembersOpBuilder().setMembers(members(in))
+            .setVotingMembers(members(in))
             .setEndpoint(member(in)).setMode(MembershipChangeMode.valueOf(in.readUTF())).build();
       default:
         throw new IOException("unknown operation kind " + kind);
@@ -148,6 +150,6 @@
   /** Reads a member; null where the name is empty. */
   static RaftEndpoint member(DataInputStream in) throws IOException {
     String name = in.readUTF();
-    return name.isEmpty() ? null : new Member(name);
+    return name.isEmpty() ? null : new MemberId(name);
   }
 }
--- a/proxy/src/main/java/amberhoist/group/Disk.java
+++ b/proxy/src/main/java/amberhoist/group/LogStorage.java
@@ -3,9 +3,9 @@
 import java.io.IOException;
 
 /** Durable storage of a member's log. After an {@link IOException} its content is unknown until it is read again. */
-public interface Disk {
+public interface LogStorage {
   /** Returns the whole content, empty where nothing was written yet. */
-  byte[] read() throws IOException;
+  byte[] readAll() throws IOException;
 
   /** Appends the bytes. Until {@link #force} returns, a crash may lose them, or leave a torn write. */
   void append(byte[] bytes) throws IOException;
--- a/proxy/src/main/java/amberhoist/group/Log.java
+++ b/proxy/src/main/java/amberhoist/group/RaftLog.java
@@ -1,6 +1,6 @@
 package amberhoist.group;
 
-import amberhoist.group.Frames.Frame;
+import amberhoist.group.FrameCodec.Frame;
 import io.microraft.model.RaftModelFactory;
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
@@ -20,7 +20,7 @@
  * with {@code Flush} in their names return only once everything persisted so far is durable. After a failed write every
  * further flush fails, since the content of the storage is unknown.
  */
-public final class Log implements RaftStore {
+public final class RaftLog implements RaftStore {
   private static final int LOCAL_ENDPOINT = 1;
   private static final int INITIAL_MEMBERS = 2;
   private static final int TERM = 3;
@@ -31,12 +31,12 @@
   private static final int DELETE_SNAPSHOT = 8;
   private static final int MIN_COMPACTION_BYTES = 64 << 10; // a smaller file is never compacted
 
-  private final Codec codec = new Codec();
-  private final Disk storage;
+  private final LogPayloadCodec codec = new LogPayloadCodec();
+  private final LogStorage storage;
   private final List<byte[]> pendingFrames = new ArrayList<>();
   private RaftEndpointPersistentState localEndpoint;
   private RaftGroupMembersView initialMembers;
-  private RaftTermPersistentState term = codec.models.createRaftTermPersistentStateBuilder().setTerm(0).build();
+  private RaftTermPersistentState term = codec.modelFactory.createRaftTermPersistentStateBuilder().setTerm(0).build();
   private final TreeMap<Long, LogEntry> entries = new TreeMap<>();
   private final TreeMap<Long, Map<Integer, SnapshotChunk>> chunks = new TreeMap<>(); // by log index, then chunk index
   private long fileBytes;
@@ -46,18 +46,18 @@
   /**
    * Recovers the state from the storage, and removes a torn write at its end.
    *
-   * @throws DamagedLogException for a log that is corrupt in any other way
+   * @throws CorruptLogException for a log that is corrupt in any other way
    * @throws IOException when the storage fails, or holds a frame of an unknown kind
    */
-  public Log(Disk storage) throws IOException {
+  public RaftLog(LogStorage storage) throws IOException {
     this.storage = storage;
-    byte[] file = storage.read();
-    Frames.Content content = Frames.read(file);
+    byte[] file = storage.readAll();
+    FrameCodec.DecodedFrames content = FrameCodec.decode(file);
     for (Frame frame : content.frames()) {
       apply(frame);
     }
-    fileBytes = content.sound();
-    if (content.sound() < file.length) {
+    fileBytes = content.validBytes();
+    if (content.validBytes() < file.length) {
       compact();
     }
   }
@@ -65,23 +65,25 @@
   private void apply(Frame frame) throws IOException {
     byte[] payload = frame.payload();
     switch (frame.kind()) {
-      case LOCAL_ENDPOINT -> localEndpoint = Codec.of(payload,
-          in -> codec.models.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(Codec.member(in))
+      case LOCAL_ENDPOINT -> localEndpoint = LogPayloadCodec.decode(payload,
+          in -> codec.modelFactory.createRaftEndpointPersistentStateBuilder()
+          .setLocalEndpoint(LogPayloadCodec.member(in))
               .setVoting(in.readBoolean()).build());
-      case INITIAL_MEMBERS -> initialMembers = Codec.of(payload, codec::view);
-      case TERM -> term = Codec.of(payload, in -> codec.models.createRaftTermPersistentStateBuilder()
-          .setTerm(in.readInt()).setVotedFor(Codec.member(in)).build());
+      case INITIAL_MEMBERS -> initialMembers = LogPayloadCodec.decode(payload, codec::membersView);
+      case TERM -> term = LogPayloadCodec.decode(payload,
+          in -> codec.modelFactory.createRaftTermPersistentStateBuilder()
+          .setTerm(in.readInt()).setVotedFor(LogPayloadCodec.member(in)).build());
       case ENTRY -> {
-        LogEntry entry = Codec.of(payload, codec::entry);
+        LogEntry entry = LogPayloadCodec.decode(payload, codec::entry);
         entries.put(entry.getIndex(), entry);
       }
       case SNAPSHOT_CHUNK -> {
-        SnapshotChunk chunk = Codec.of(payload, codec::chunk);
+        SnapshotChunk chunk = LogPayloadCodec.decode(payload, codec::chunk);
         chunks.computeIfAbsent(chunk.getIndex(), index -> new TreeMap<>()).put(chunk.getSnapshotChunkIndex(), chunk);
       }
-      case TRUNCATE_FROM -> entries.tailMap(Codec.of(payload, in -> in.readLong()), true).clear();
-      case TRUNCATE_UNTIL -> entries.headMap(Codec.of(payload, in -> in.readLong()), true).clear();
-      case DELETE_SNAPSHOT -> chunks.remove(Codec.of(payload, in -> in.readLong()));
+      case TRUNCATE_FROM -> entries.tailMap(LogPayloadCodec.decode(payload, in -> in.readLong()), true).clear();
+      case TRUNCATE_UNTIL -> entries.headMap(LogPayloadCodec.decode(payload, in -> in.readLong()), true).clear();
+      case DELETE_SNAPSHOT -> chunks.remove(LogPayloadCodec.decode(payload, in -> in.readLong()));
       default -> throw new IOException("unknown frame kind " + frame.kind() + ", written by a later version");
     }
   }
@@ -97,52 +99,52 @@
   }
 
   /** Returns the last index that the latest snapshot includes, 0 where there is none. */
-  long covered() {
+  long snapshotIndex() {
     List<SnapshotChunk> snapshotChunks = latestSnapshot();
     return snapshotChunks.isEmpty() ? 0 : snapshotChunks.get(0).getIndex();
   }
 
   /** Whether the log contains this entry: entries of the same index and term are equal. */
-  boolean holds(LogEntry entry) {
+  boolean contains(LogEntry entry) {
     LogEntry existing = entries.get(entry.getIndex());
     return existing != null && existing.getTerm() == entry.getTerm();
   }
 
   /** Whether the log contains another entry at this entry's index. */
-  boolean differs(LogEntry entry) {
-    return entries.containsKey(entry.getIndex()) && !holds(entry);
+  boolean conflictsWith(LogEntry entry) {
+    return entries.containsKey(entry.getIndex()) && !contains(entry);
   }
 
   /** Returns the factory of the library's messages. */
-  RaftModelFactory models() {
-    return codec.models;
+  RaftModelFactory modelFactory() {
+    return codec.modelFactory;
   }
 
   /** Returns the state to restart the member with, or null when it has never started. */
-  public RestoredRaftState restored() {
+  public RestoredRaftState restoredState() {
     if (localEndpoint == null || initialMembers == null) {
       return null;
     }
     List<SnapshotChunk> snapshotChunks = latestSnapshot();
-    long snapshotIndex = covered();
+    long snapshotIndex = snapshotIndex();
     return new RestoredRaftState(localEndpoint, initialMembers, term,
-        snapshotChunks.isEmpty() ? null : codec.models.createSnapshotEntryBuilder().setIndex(snapshotIndex)
+        snapshotChunks.isEmpty() ? null : codec.modelFactory.createSnapshotEntryBuilder().setIndex(snapshotIndex)
             .setTerm(snapshotChunks.get(0).getTerm()).setSnapshotChunks(snapshotChunks)
             .setGroupMembersView(snapshotChunks.get(0).getGroupMembersView()).build(),
         List.copyOf(entries.tailMap(snapshotIndex, false).values()));
   }
 
   /** Applies a record to the state in memory and enqueues it for the next flush. */
-  private void applyAndEnqueue(int kind, Codec.Writer payload) throws IOException {
-    byte[] bytes = Codec.bytes(payload);
+  private void applyAndEnqueue(int kind, LogPayloadCodec.Writer payload) throws IOException {
+    byte[] bytes = LogPayloadCodec.encode(payload);
     apply(new Frame(kind, bytes));
-    pendingFrames.add(Frames.frame(kind, bytes));
+    pendingFrames.add(FrameCodec.encode(kind, bytes));
   }
 
   @Override
   public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
     applyAndEnqueue(LOCAL_ENDPOINT, out -> {
-      Codec.member(out, state.getLocalEndpoint());
+      LogPayloadCodec.member(out, state.getLocalEndpoint());
       out.writeBoolean(state.isVoting());
     });
     flush();
@@ -150,7 +152,7 @@
 
   @Override
   public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
-    applyAndEnqueue(INITIAL_MEMBERS, out -> codec.view(out, members));
+    applyAndEnqueue(INITIAL_MEMBERS, out -> codec.membersView(out, members));
     flush();
   }
 
@@ -158,7 +160,7 @@
   public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
     applyAndEnqueue(TERM, out -> {
       out.writeInt(state.getTerm());
-      Codec.member(out, state.getVotedFor());
+      LogPayloadCodec.member(out, state.getVotedFor());
     });
     flush();
   }
@@ -199,7 +201,7 @@
       return;
     }
     try {
-      byte[] bytes = Frames.join(pendingFrames);
+      byte[] bytes = FrameCodec.concatenate(pendingFrames);
       pendingFrames.clear();
       storage.append(bytes);
       storage.force();
@@ -214,7 +216,7 @@
   }
 
   /** Whether no write has failed so far. */
-  public boolean sound() {
+  public boolean isHealthy() {
     return failure == null;
   }
 
@@ -222,16 +224,16 @@
   private void compact() throws IOException {
     if (localEndpoint != null) {
       enqueue(LOCAL_ENDPOINT, out -> {
-        Codec.member(out, localEndpoint.getLocalEndpoint());
+        LogPayloadCodec.member(out, localEndpoint.getLocalEndpoint());
         out.writeBoolean(localEndpoint.isVoting());
       });
     }
     if (initialMembers != null) {
-      enqueue(INITIAL_MEMBERS, out -> codec.view(out, initialMembers));
+      enqueue(INITIAL_MEMBERS, out -> codec.membersView(out, initialMembers));
     }
     enqueue(TERM, out -> {
       out.writeInt(term.getTerm());
-      Codec.member(out, term.getVotedFor());
+      LogPayloadCodec.member(out, term.getVotedFor());
     });
     for (Map<Integer, SnapshotChunk> snapshot : chunks.values()) {
       for (SnapshotChunk chunk : snapshot.values()) {
@@ -241,7 +243,7 @@
     for (LogEntry entry : entries.values()) {
       enqueue(ENTRY, out -> codec.entry(out, entry));
     }
-    byte[] state = Frames.join(pendingFrames);
+    byte[] state = FrameCodec.concatenate(pendingFrames);
     pendingFrames.clear();
     storage.replace(state);
     fileBytes = state.length;
@@ -249,7 +251,7 @@
   }
 
   /** Enqueues a record for the next write, without applying it. */
-  private void enqueue(int kind, Codec.Writer payload) throws IOException {
-    pendingFrames.add(Frames.frame(kind, Codec.bytes(payload)));
+  private void enqueue(int kind, LogPayloadCodec.Writer payload) throws IOException {
+    pendingFrames.add(FrameCodec.encode(kind, LogPayloadCodec.encode(payload)));
   }
 }
--- a/proxy/src/main/java/amberhoist/group/disk/FileDisk.java
+++ b/proxy/src/main/java/amberhoist/group/disk/FileLogStorage.java
@@ -1,6 +1,6 @@
 package amberhoist.group.disk;
 
-import amberhoist.group.Disk;
+import amberhoist.group.LogStorage;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -10,13 +10,13 @@
 import java.nio.file.StandardOpenOption;
 
 /** Stores the log in a file, in a directory used by this member alone. */
-public final class FileDisk implements Disk, AutoCloseable {
+public final class FileLogStorage implements LogStorage, AutoCloseable {
   private final Path file;
   private final Path temporaryFile;
   private FileChannel channel;
 
   /** Opens the log in this directory; creates directory and log where they are missing. */
-  public FileDisk(Path directory) throws IOException {
+  public FileLogStorage(Path directory) throws IOException {
     Files.createDirectories(directory);
     file = directory.resolve("group.log");
     temporaryFile = directory.resolve("group.log.new");
@@ -33,7 +33,7 @@
   }
 
   @Override
-  public byte[] read() throws IOException {
+  public byte[] readAll() throws IOException {
     return Files.readAllBytes(file);
   }
 
--- a/proxy/src/main/java/amberhoist/rollout/Bytes.java
+++ b/proxy/src/main/java/amberhoist/rollout/BinaryCodec.java
@@ -9,8 +9,8 @@
 import java.nio.charset.StandardCharsets;
 
 /** Encodes and decodes commands and snapshots. */
-final class Bytes {
-  private Bytes() {}
+final class BinaryCodec {
+  private BinaryCodec() {}
 
   /** Encodes one value. */
   interface Writer {
@@ -22,7 +22,7 @@
     T read(DataInputStream in) throws IOException;
   }
 
-  static byte[] write(Writer writer) {
+  static byte[] encode(Writer writer) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try {
       writer.write(new DataOutputStream(bytes));
@@ -33,7 +33,7 @@
   }
 
   /** Decodes a value; throws an {@link UncheckedIOException} where the bytes end too early. */
-  static <T> T read(byte[] bytes, Reader<T> reader) {
+  static <T> T decode(byte[] bytes, Reader<T> reader) {
     try {
       return reader.read(new DataInputStream(new ByteArrayInputStream(bytes)));
     } catch (IOException truncated) {
@@ -42,13 +42,13 @@
   }
 
   /** Writes a string of any length: its length in bytes (4), then its UTF-8. */
-  static void text(DataOutputStream out, String text) throws IOException {
+  static void string(DataOutputStream out, String text) throws IOException {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     out.writeInt(bytes.length);
     out.write(bytes);
   }
 
-  static String text(DataInputStream in) throws IOException {
+  static String string(DataInputStream in) throws IOException {
     byte[] bytes = new byte[in.readInt()];
     in.readFully(bytes);
     return new String(bytes, StandardCharsets.UTF_8);
--- a/proxy/src/main/java/amberhoist/rollout/Rollout.java
+++ b/proxy/src/main/java/amberhoist/rollout/Rollout.java
@@ -1,7 +1,7 @@
 package amberhoist.rollout;
 
-import amberhoist.rollout.Sequence.Change;
-import amberhoist.rollout.Sequence.Verdict;
+import amberhoist.rollout.PolicyVersions.ChangeResult;
+import amberhoist.rollout.PolicyVersions.PolicyChange;
 import java.util.Arrays;
 import java.util.Set;
 import java.util.TreeSet;
@@ -16,21 +16,21 @@
   private static final int PREPARED = 2;
   private static final int CONCLUDE = 3;
 
-  private final Sequence versions;
+  private final PolicyVersions versions;
   private final Set<String> preparedMembers = new TreeSet<>();
   private boolean hasPending;
   private long inForceVersion;
   private String inForceDocument = "";
 
   /** Creates the initial state, over an empty sequence of versions. */
-  public Rollout(Sequence versions) {
+  public Rollout(PolicyVersions versions) {
     this.versions = versions;
   }
 
   /** Encodes the command that proposes a change. */
-  public static byte[] propose(Change change) {
-    byte[] bytes = change.bytes();
-    return Bytes.write(out -> {
+  public static byte[] proposeCommand(PolicyChange change) {
+    byte[] bytes = change.encode();
+    return BinaryCodec.encode(out -> {
       out.writeByte(PROPOSE);
       out.writeInt(bytes.length);
       out.write(bytes);
@@ -38,13 +38,13 @@
   }
 
   /** Decodes the change that such a command proposes. */
-  public static Change proposed(byte[] command) {
-    return Change.of(Arrays.copyOfRange(command, 5, command.length));
+  public static PolicyChange decodeProposal(byte[] command) {
+    return PolicyChange.decode(Arrays.copyOfRange(command, 5, command.length));
   }
 
   /** Encodes the command of a member that has prepared this version, and uses none until the change is concluded. */
   public static byte[] prepared(String member, long version) {
-    return Bytes.write(out -> {
+    return BinaryCodec.encode(out -> {
       out.writeByte(PREPARED);
       out.writeUTF(member);
       out.writeLong(version);
@@ -54,19 +54,19 @@
   /**
    * Encodes the command that concludes the change to this version. If there are several, the first one counts.
    *
-   * @param force whether the version comes into force, else it is withdrawn
+   * @param comesIntoForce whether the version comes into force, else it is withdrawn
    */
-  public static byte[] conclude(long version, boolean force) {
-    return Bytes.write(out -> {
+  public static byte[] concludeCommand(long version, boolean comesIntoForce) {
+    return BinaryCodec.encode(out -> {
       out.writeByte(CONCLUDE);
       out.writeLong(version);
-      out.writeBoolean(force);
+      out.writeBoolean(comesIntoForce);
     });
   }
 
   /** Applies the next command of the log; returns the result of a proposed change, null for other commands. */
-  public Verdict take(byte[] command) {
-    return Bytes.read(command, in -> {
+  public ChangeResult apply(byte[] command) {
+    return BinaryCodec.decode(command, in -> {
       int kind = in.readByte();
       switch (kind) {
         case PROPOSE:
@@ -95,25 +95,25 @@
     });
   }
 
-  private Verdict applyProposal(byte[] bytes) {
+  private ChangeResult applyProposal(byte[] bytes) {
     long versionBefore = versions.version();
-    Verdict result = versions.take(Change.of(bytes), !hasPending);
+    ChangeResult result = versions.apply(PolicyChange.decode(bytes), !hasPending);
     hasPending |= versions.version() != versionBefore;
     return result;
   }
 
-  /** Returns the version in force. No member may use it while a change is {@link #pending}. */
-  public long inForce() {
+  /** Returns the version in force. No member may use it while a change is {@link #isPending}. */
+  public long inForceVersion() {
     return inForceVersion;
   }
 
   /** Returns the document in force, empty before the first change. */
-  public String document() {
+  public String inForceDocument() {
     return inForceDocument;
   }
 
   /** Returns the latest version, be it in force, pending or withdrawn: the next change must be based on it. */
-  public long latest() {
+  public long latestVersion() {
     return versions.version();
   }
 
@@ -123,7 +123,7 @@
   }
 
   /** Whether the latest version is proposed but not concluded. */
-  public boolean pending() {
+  public boolean isPending() {
     return hasPending;
   }
 
@@ -135,9 +135,9 @@
   /** Encodes the whole state, for a member that lacks entries which are no longer in the log. */
   public byte[] snapshot() {
     byte[] versionsSnapshot = versions.snapshot();
-    return Bytes.write(out -> {
+    return BinaryCodec.encode(out -> {
       out.writeLong(inForceVersion);
-      Bytes.text(out, inForceDocument);
+      BinaryCodec.string(out, inForceDocument);
       out.writeBoolean(hasPending);
       out.writeInt(preparedMembers.size());
       for (String member : preparedMembers) {
@@ -149,10 +149,10 @@
   }
 
   /** Replaces the state by a snapshot. */
-  public void install(byte[] snapshot) {
-    Bytes.read(snapshot, in -> {
+  public void installSnapshot(byte[] snapshot) {
+    BinaryCodec.decode(snapshot, in -> {
       inForceVersion = in.readLong();
-      inForceDocument = Bytes.text(in);
+      inForceDocument = BinaryCodec.string(in);
       hasPending = in.readBoolean();
       preparedMembers.clear();
       for (int remaining = in.readInt(); remaining > 0; remaining--) {
@@ -160,7 +160,7 @@
       }
       byte[] versionsSnapshot = new byte[in.readInt()];
       in.readFully(versionsSnapshot);
-      versions.install(versionsSnapshot);
+      versions.installSnapshot(versionsSnapshot);
       return null;
     });
   }
