--- a/proxy/src/main/java/amberhoist/service/Service.java
+++ b/proxy/src/main/java/amberhoist/service/Service.java
@@ -3,11 +3,11 @@
 import amberhoist.admin.AdminSocket;
 import amberhoist.admin.Status;
 import amberhoist.config.AdminAddress;
-import amberhoist.config.Config;
-import amberhoist.config.Config.BadConfig;
-import amberhoist.config.Operator;
-import amberhoist.config.Setup;
-import amberhoist.config.Setup.Sources;
+import amberhoist.config.OperatorConfig;
+import amberhoist.config.PlatformConfig;
+import amberhoist.config.PlatformConfig.InvalidConfigException;
+import amberhoist.config.ProxyConfig;
+import amberhoist.config.ProxyConfig.ConfigSources;
 import amberhoist.core.Core;
 import amberhoist.decide.Balancer.RequestClass;
 import amberhoist.decide.Policy;
@@ -65,7 +65,7 @@
   private final DirectoryWatch directory;
   private final Set<CompletableFuture<?>> pendingQueries = ConcurrentHashMap.newKeySet();
   private final CountDownLatch stopped = new CountDownLatch(1);
-  private volatile Setup setup;
+  private volatile ProxyConfig setup;
   private volatile AdminSocket admin;
   private volatile ManagementServer managementServer;
   private volatile UpgradeCoordinator coordinator;
@@ -75,10 +75,10 @@
   private InetSocketAddress discovery; // loop thread only
   private long servingSinceMicros;
 
-  private Service(Setup setup) throws IOException {
+  private Service(ProxyConfig setup) throws IOException {
     this.setup = setup;
-    Config config = setup.config();
-    Operator operator = setup.operator();
+    PlatformConfig config = setup.platform();
+    OperatorConfig operator = setup.operator();
     log = new EventLog(config.name(), operator.logSettings());
     loop = new EventLoop(fault -> log.logException(Event.LOOP_FAULT, "a task on the loop failed", fault),
         lagMicros -> latencies.record(Span.LOOP_LAG, lagMicros));
@@ -89,11 +89,11 @@
     acceptor = new Acceptor(loop, descriptors, counters, operator.socketLimits(), clients::onAccepted);
     CommandDispatcher switchboard = new CommandDispatcher(transport, providers, this::ensureDirectoryWatch,
         message -> log.log(Event.MODULE_SAID, message));
-    core = new Core(new Policy(), loop.timerWheel(), switchboard, counters, config.limits(), operator.timing(),
+    core = new Core(new Policy(), loop.timerWheel(), switchboard, counters, config.limits(), operator.coreTiming(),
         new LoggingTelemetry(log, latencies));
-    discovery = config.discovery();
+    discovery = config.directoryAddress();
     directory = new DirectoryWatch(loop, core, addresses, counters, operator.watchTiming(), discovery,
-        config.known().index(), config.seed(), new LoggingTelemetry.DirectoryFaultLog(log));
+        config.initialUpdate().index(), config.seed(), new LoggingTelemetry.DirectoryFaultLog(log));
     clients.setCore(core);
     providers.setCore(core);
     applyLimits(setup);
@@ -107,34 +107,35 @@
     directory.ensureWatching();
   }
 
-  private void applyLimits(Setup newSetup) {
-    int reserved = OWN_DESCRIPTORS + (newSetup.config().mgmt() == null ? 0 : ManagementServer.MAX_DESCRIPTORS);
-    int limit = newSetup.config().sockets();
+  private void applyLimits(ProxyConfig newSetup) {
+    int reserved = OWN_DESCRIPTORS + (newSetup.platform().managementAddress() == null ? 0
+        : ManagementServer.MAX_DESCRIPTORS);
+    int limit = newSetup.platform().maxDescriptors();
     limit = otherDescriptors == 0 ? limit // during an upgrade each process may take half of what none holds yet
         : reserved + descriptors.held() + Math.max(0, limit - otherDescriptors - reserved - descriptors.held()) / 2;
     descriptors.setLimit(Math.max(MIN_DESCRIPTORS, limit - reserved));
     if (coordinator != null) {
       coordinator.setHeldDescriptors(reserved + descriptors.held());
     }
-    counters.setupOutcomes().addClasses(newSetup.config().settings().requestClasses().stream().map(RequestClass::name)
+    counters.setupOutcomes().addClasses(newSetup.platform().settings().requestClasses().stream().map(RequestClass::name)
         .toList());
-    clients.limits(newSetup.operator().lineLimits(), newSetup.config().settings().maxRetryAfterMicros());
+    clients.limits(newSetup.operator().lineLimits(), newSetup.platform().settings().maxRetryAfterMicros());
   }
 
   /** Starts a proxy with the platform's configuration and default operator settings; returns when it listens. */
-  public static Service start(Config config) throws IOException {
-    return start(new Setup(config, Operator.DEFAULT, Map.of()));
+  public static Service start(PlatformConfig config) throws IOException {
+    return start(new ProxyConfig(config, OperatorConfig.DEFAULT, Map.of()));
   }
 
   /** Starts a proxy; returns when it listens. */
-  public static Service start(Setup setup) throws IOException {
+  public static Service start(ProxyConfig setup) throws IOException {
     Service service = new Service(setup);
-    Config config = setup.config();
+    PlatformConfig config = setup.platform();
     CompletableFuture<Void> coreStarted = new CompletableFuture<>();
     service.loop.post(() -> {
       try {
-        service.addresses.update(config.known());
-        service.core.start(service.loop.now(), config.settings(), config.seed(), config.known().providers());
+        service.addresses.update(config.initialUpdate());
+        service.core.start(service.loop.now(), config.settings(), config.seed(), config.initialUpdate().providers());
         service.directory.ensureWatching();
         coreStarted.complete(null);
       } catch (RuntimeException fault) {
@@ -147,7 +148,7 @@
       service.joinOtherProcesses();
       service.loop.post(() -> {
         try {
-          service.acceptor.listen(config.listen(), config.mgmt() != null);
+          service.acceptor.listen(config.listenAddress(), config.managementAddress() != null);
           service.servingSinceMicros = service.loop.now();
           service.logSuppressed();
           listening.complete(null);
@@ -173,11 +174,11 @@
 
   /** Where upgrades are possible, shares suspensions and the descriptor limit with this proxy's other processes. */
   private void joinOtherProcesses() {
-    Config config = setup.config();
-    if (config.mgmt() == null || config.shared() == null) {
+    PlatformConfig config = setup.platform();
+    if (config.managementAddress() == null || config.sharedFolder() == null) {
       return;
     }
-    coordinator = new UpgradeCoordinator(config.shared(), new UpgradeListener(loop, core, descriptors -> {
+    coordinator = new UpgradeCoordinator(config.sharedFolder(), new UpgradeListener(loop, core, descriptors -> {
       otherDescriptors = descriptors;
       applyLimits(setup);
     }), reason -> log.log(Event.UPGRADE_FAILED, "cannot read or store the upgrade record", "why", reason));
@@ -186,7 +187,7 @@
   }
 
   private void startAdminSocket() throws IOException {
-    Operator.Admin keys = setup.operator().admin();
+    OperatorConfig.Admin keys = setup.operator().admin();
     SocketAddress address = AdminAddress.parse(keys.listen());
     if (address != null) {
       admin = new AdminSocket(address, keys.timeout(), new AdminSource(), log);
@@ -195,7 +196,7 @@
 
   /** Called last, so that the management API answers only once the proxy serves. */
   private void startManagementServer() throws IOException {
-    InetSocketAddress address = setup.config().mgmt();
+    InetSocketAddress address = setup.platform().managementAddress();
     if (address != null) {
       managementServer = new ManagementServer(address,
           new Routes(new LoopOperations(loop, core, addresses, counters, () -> stopping, log, coordinator)),
@@ -226,19 +227,19 @@
 
   /** Calls {@link #reload(Sources)} with the environment as the only source. */
   public void reload(Map<String, String> environment) {
-    reload(Sources.of(environment));
+    reload(ConfigSources.ofEnvironment(environment));
   }
 
   /**
    * Reloads the configuration, except for name and listen address. An invalid configuration changes nothing. Callable
    * from any thread: reads the files on the calling thread; the loop applies them in the order of the calls.
    */
-  public synchronized void reload(Sources sources) {
+  public synchronized void reload(ConfigSources sources) {
     Runnable task;
     try {
-      Setup newSetup = Setup.reload(sources, loop.clock());
+      ProxyConfig newSetup = ProxyConfig.reload(sources, loop.clock());
       task = () -> apply(newSetup);
-    } catch (BadConfig fault) {
+    } catch (InvalidConfigException fault) {
       task = () -> {
         counters.increment(Count.RELOADS_REFUSED);
         fault.problems().forEach(problem ->
@@ -253,18 +254,18 @@
   }
 
   /** Applies a setup in a single task on the loop's thread, so that no other task sees it half applied. */
-  private void apply(Setup newSetup) {
+  private void apply(ProxyConfig newSetup) {
     counters.increment(Count.RELOADS);
-    restartNeeded = Setup.needRestart(setup.operator(), newSetup.operator());
-    Setup old = setup;
-    Operator operator = newSetup.operator();
-    setup = new Setup(newSetup.config(), operator.withRestartKeysOf(old.operator()), newSetup.origins());
+    restartNeeded = ProxyConfig.keysNeedingRestart(setup.operator(), newSetup.operator());
+    ProxyConfig old = setup;
+    OperatorConfig operator = newSetup.operator();
+    setup = new ProxyConfig(newSetup.platform(), operator.withRestartKeysOf(old.operator()), newSetup.origins());
     applyLimits(newSetup);
     transport.limits(operator.socketLimits());
     acceptor.limits(operator.socketLimits());
     directory.timing(operator.watchTiming());
-    core.configure(loop.now(), newSetup.config().settings(), newSetup.config().limits(), operator.timing());
-    discovery = newSetup.config().discovery();
+    core.configure(loop.now(), newSetup.platform().settings(), newSetup.platform().limits(), operator.coreTiming());
+    discovery = newSetup.platform().directoryAddress();
     directory.changeAddress(discovery);
     log.configure(operator.logSettings());
     log.log(Event.CONFIG_RELOADED, "configuration read again, directory at " + discovery, "directory", discovery);
@@ -303,7 +304,7 @@
 
   /** No invocation is left: sends idle and newly arriving clients a closing line, then closes everything. */
   private void onDrained() {
-    clients.rejectNewClients(setup.operator().timing().stopRetryAfterMicros());
+    clients.rejectNewClients(setup.operator().coreTiming().stopRetryAfterMicros());
     loop.timerWheel().arm(loop.now() + CLOSE_DELAY_MICROS / 2, at -> acceptor.close());
     loop.timerWheel().arm(loop.now() + CLOSE_DELAY_MICROS, at -> {
       transport.closeAll();
@@ -379,7 +380,7 @@
 
     @Override
     public String config() {
-      return Setup.show(setup);
+      return ProxyConfig.formatKeys(setup);
     }
   }
 }
--- a/proxy/src/main/java/amberhoist/service/StatusCollector.java
+++ b/proxy/src/main/java/amberhoist/service/StatusCollector.java
@@ -4,7 +4,7 @@
 import amberhoist.admin.Status.Latency;
 import amberhoist.admin.Status.LogStatus;
 import amberhoist.admin.Status.Provider;
-import amberhoist.config.Setup;
+import amberhoist.config.ProxyConfig;
 import amberhoist.core.Core;
 import amberhoist.decide.Balancer.Server;
 import amberhoist.directory.ProviderRegistry;
@@ -27,7 +27,8 @@
 final class StatusCollector {
   private StatusCollector() {}
 
-  static Status collect(Setup setup, boolean stopping, Service service, long uptimeMillis, int connections, Core core,
+  static Status collect(ProxyConfig setup, boolean stopping, Service service, long uptimeMillis, int connections,
+      Core core,
       ProviderRegistry addresses, Counters counters, Latencies latencies, EventLog log, List<String> restartNeeded,
       InetSocketAddress directoryAddress) {
     Map<String, Integer> establishedByProvider = new HashMap<>();
@@ -43,7 +44,7 @@
     copyLatencies(latencies).forEach((span, histogram) -> spans.put(span.name().toLowerCase(Locale.ROOT),
         new Latency(histogram.getTotalCount(), histogram.getValueAtPercentile(50),
             histogram.getValueAtPercentile(99), histogram.getMaxValue())));
-    return new Status(setup.config().name(), version(), stopping ? "stopping" : "serving", listenAddress(service),
+    return new Status(setup.platform().name(), version(), stopping ? "stopping" : "serving", listenAddress(service),
         String.valueOf(directoryAddress), uptimeMillis, connections, core.invocationCount(), providers,
         counters.nonZero(), spans,
         new LogStatus(log.suppressedLines(), EventLog.droppedLines()), restartNeeded);
--- a/proxy/src/main/java/amberhoist/simulator/Main.java
+++ b/proxy/src/main/java/amberhoist/simulator/SimulatorMain.java
@@ -6,10 +6,10 @@
 import java.io.PrintStream;
 
 /** The command {@code drill}: runs balancers for a simulator that is connected to standard input and output. */
-public final class Main {
+public final class SimulatorMain {
   private static final String USAGE = "usage: java -jar amberhoist.jar drill";
 
-  private Main() {}
+  private SimulatorMain() {}
 
   /** Runs the adapter until standard input ends. */
   public static void main(String[] args) {
@@ -27,12 +27,12 @@
       err.println(USAGE);
       return 2;
     }
-    Codec codec = new Codec(in, out, new Session());
+    SimulatorCodec codec = new SimulatorCodec(in, out, new SimulatedInstances());
     try {
-      codec.run();
+      codec.processBatches();
       return 0;
     } catch (IOException | RuntimeException fault) {
-      err.println("line " + codec.line() + ": " + describe(fault));
+      err.println("line " + codec.lineNumber() + ": " + describe(fault));
       return 1;
     }
   }
