--- a/proxy/src/main/java/amberhoist/admin/AdminSocket.java
+++ b/proxy/src/main/java/amberhoist/admin/AdminSocket.java
@@ -131,8 +131,7 @@
     }
   }
 
-  private record Response(String status, String type, byte[] body) {
-  }
+  private record Response(String status, String type, byte[] body) {}
 
   private Response respond(String requestLine) throws IOException {
     String[] words = requestLine.split(" ", 3);
--- a/proxy/src/main/java/amberhoist/cli/ConfigCommand.java
+++ b/proxy/src/main/java/amberhoist/cli/ConfigCommand.java
@@ -38,9 +38,9 @@
   int check(@Parameters(paramLabel = "FILE", arity = "1..*", description = "operator's files") List<Path> files) {
     int status = 0;
     for (Path file : files) {
-      OperatorConfigResult reading = ProxyConfig.readOperatorKeys(new ConfigSources(file, Map.of(), Map.of()), false);
-      status = Math.max(status, printProblems(reading.problems()));
-      if (reading.problems().isEmpty()) {
+      OperatorConfigResult result = ProxyConfig.readOperatorKeys(new ConfigSources(file, Map.of(), Map.of()), false);
+      status = Math.max(status, printProblems(result.problems()));
+      if (result.problems().isEmpty()) {
         System.out.println(file + ": valid");
       }
     }
@@ -50,9 +50,9 @@
   /** Prints the effective configuration. */
   @Command(name = "show", description = "Prints the effective value of each key and its source.")
   int show(@Mixin SourceOptions options) {
-    OperatorConfigResult reading = ProxyConfig.readOperatorKeys(options.sources(), false);
-    System.out.print(ReferencePages.formatKeys(reading));
-    return printProblems(reading.problems());
+    OperatorConfigResult result = ProxyConfig.readOperatorKeys(options.sources(), false);
+    System.out.print(ReferencePages.formatKeys(result));
+    return printProblems(result.problems());
   }
 
   /** The kind of reference to print. */
--- a/proxy/src/main/java/amberhoist/cli/ServeRunner.java
+++ b/proxy/src/main/java/amberhoist/cli/ServeRunner.java
@@ -29,11 +29,11 @@
       Runtime.getRuntime().halt(0);
     }), "stop"));
     try {
-      ProxyConfig setup = ProxyConfig.load(sources, new Clock());
-      EventLog.selectBackend(setup.operator().log().format());
-      EventLog.redirectStandardError((int) setup.operator().log().queue().bytes(),
-          new EventLog(setup.platform().name(), setup.operator().logSettings()));
-      started.complete(Optional.of(Service.start(setup)));
+      ProxyConfig config = ProxyConfig.load(sources, new Clock());
+      EventLog.selectBackend(config.operator().log().format());
+      EventLog.redirectStandardError((int) config.operator().log().queue().bytes(),
+          new EventLog(config.platform().name(), config.operator().logSettings()));
+      started.complete(Optional.of(Service.start(config)));
       return;
     } catch (InvalidConfigException fault) {
       fault.problems().forEach(System.err::println);
--- a/proxy/src/main/java/amberhoist/config/AdminAddress.java
+++ b/proxy/src/main/java/amberhoist/config/AdminAddress.java
@@ -17,7 +17,7 @@
   private AdminAddress() {}
 
   /**
-   * Parses an address; returns null for the empty text.
+   * Parses an address; returns null if the text is empty.
    *
    * @throws IllegalArgumentException if the text is not such an address; the message says what was expected
    */
--- a/proxy/src/main/java/amberhoist/config/ConfigLayer.java
+++ b/proxy/src/main/java/amberhoist/config/ConfigLayer.java
@@ -19,11 +19,12 @@
  * @param values the values by path of the key, before validation
  */
 record ConfigLayer(Map<String, RawValue> values) {
-  private static final Map<String, String> PATHS_BY_PLATFORM_KEY = Map.of("name", "instance.name", "listen",
-      "instance.listen", "discovery", "instance.directory", "mgmt", "instance.mgmt");
-  private static final Map<String, String> PATHS_BY_VARIABLE = Map.of("LB_NAME", "instance.name", "LB_LISTEN",
-      "instance.listen", "LB_DISCOVERY", "instance.directory", "LB_CONFIG", "instance.platform",
-      "LB_MGMT", "instance.mgmt");
+  private static final Map<String, String> PATHS_BY_PLATFORM_KEY = Map.of(
+      "name", "instance.name", "listen", "instance.listen", "discovery", "instance.directory",
+      "mgmt", "instance.mgmt");
+  private static final Map<String, String> PATHS_BY_VARIABLE = Map.of(
+      "LB_NAME", "instance.name", "LB_LISTEN", "instance.listen", "LB_DISCOVERY", "instance.directory",
+      "LB_CONFIG", "instance.platform", "LB_MGMT", "instance.mgmt");
 
   private ConfigLayer() {
     this(new LinkedHashMap<>());
@@ -45,7 +46,7 @@
       PATHS_BY_PLATFORM_KEY.forEach((name, path) -> layer.put(path, root.path(name), file));
       layer.put("limits.descriptors", root.path("limits").path("sockets"), file);
     } catch (IOException fault) {
-      // reported by Config, which reads the whole file
+      // reported by PlatformConfig, which reads the whole file
     }
     return layer;
   }
--- a/proxy/src/main/java/amberhoist/config/OperatorConfig.java
+++ b/proxy/src/main/java/amberhoist/config/OperatorConfig.java
@@ -67,18 +67,15 @@
   @Setting("Final answers to clients.")
   public record Answers(
       @Setting(value = "Time before the client's deadline at which its answer is sent at the latest.",
-          min = "1ms", max = "1s")
-      Duration margin,
+          min = "1ms", max = "1s") Duration margin,
       @Setting(value = "Retry-after of clients that are rejected because file descriptors ran short.",
-          min = "0ms", max = "1m")
-      Duration crowdedAdvice) {}
+          min = "0ms", max = "1m") Duration crowdedAdvice) {}
 
   /** Detection of silent providers. */
   @Setting("Detection of silent providers, which accept lines but return none. Their clients are moved.")
   public record Silence(
       @Setting(value = "Time without a line from the provider after a client's line, on one connection.",
-          min = "100ms", max = "6s")
-      Duration alone,
+          min = "100ms", max = "6s") Duration alone,
       @Setting(value = "The same if two or more connections to the provider are affected. Must not exceed"
           + " `silence.alone`.", min = "50ms", max = "6s") Duration together) {}
 
@@ -86,11 +83,10 @@
   @Setting("Graceful stop, on SIGTERM.")
   public record Stop(
       @Setting(value = "Time during which clients may still be sent here and are served. Must not exceed"
-          + " `stop.longest`.", min = "0ms", max = "1m")
-      Duration routed,
+          + " `stop.longest`.", min = "0ms", max = "1m") Duration routed,
       @Setting(value = "Delay after which established clients are moved, at most 0.55 of the time available for the"
-          + " stop but no less than `stop.routed`. Must not exceed `stop.longest`.", min = "0ms", max = "1m")
-      Duration hold,
+          + " stop but no less than `stop.routed`. Must not exceed `stop.longest`.",
+          min = "0ms", max = "1m") Duration hold,
       @Setting(value = "Time by which all clients are moved; longer client deadlines are treated as this.",
           min = "100ms", max = "10m") Duration longest,
       @Setting(value = "Retry-after of clients that are rejected during a stop.", min = "0ms", max = "1m")
@@ -100,8 +96,7 @@
   @Setting("The line front, which serves the platform's line protocol.")
   public record Line(
       @Setting(value = "Time limit for a client's complete first line; PINGs do not extend it.",
-          min = "50ms", max = "1m")
-      Duration firstLine,
+          min = "50ms", max = "1m") Duration firstLine,
       @Setting(value = "Time for a client that sent malformed input to end its side of the connection.",
           min = "0ms", max = "10s") Duration badLinger,
       @Setting(value = "Maximum number of PINGs on one connection.", min = "1", max = "10000") int pings) {}
@@ -110,18 +105,15 @@
   @Setting("Limits on connections.")
   public record Sockets(
       @Setting(value = "Time for the peer to end its side of the connection after a final answer.",
-          min = "10ms", max = "1m")
-      Duration linger,
+          min = "10ms", max = "1m") Duration linger,
       @Setting(value = "While more than this is queued to be written to one side, the other side is not read.",
           min = "4KiB", max = "16MiB") Size queue,
       @Setting(value = "Maximum input that is read and discarded after a final answer; any more is not read.",
           min = "0B", max = "16MiB") Size discard,
       @Setting(value = "Pause before the next attempt after a connection could not be accepted.",
-          min = "1ms", max = "10s")
-      Duration acceptPause,
+          min = "1ms", max = "10s") Duration acceptPause,
       @Setting(value = "Maximum number of connections waiting to be accepted.",
-          min = "1", max = "65535", restart = true)
-      int backlog) {}
+          min = "1", max = "65535", restart = true) int backlog) {}
 
   /** The watch on the directory. */
   @Setting("The watch on the directory, by which the proxy receives updates.")
@@ -130,8 +122,8 @@
       Duration silence,
       @Setting(value = "Time limit from a request to its first complete line.", min = "100ms", max = "10m")
       Duration firstAnswer,
-      @Setting(value = "Pause before the next watch after a failure; doubled by each further failure, plus up to 100"
-          + " % jitter.", min = "1ms", max = "1m") Duration pause,
+      @Setting(value = "Pause before the next watch after a failure; doubled by each further failure, plus up to"
+          + " 100 % jitter.", min = "1ms", max = "1m") Duration pause,
       @Setting(value = "Maximum of this pause, before jitter. Must not be less than `directory.pause`.",
           min = "1ms", max = "10m") Duration pauseMost) {}
 
@@ -149,14 +141,13 @@
       new Stop(duration(Timing.DEFAULT.stopAcceptMicros()), duration(Timing.DEFAULT.stopMoveDelayMicros()),
           duration(Timing.DEFAULT.maxStopMicros()), duration(Timing.DEFAULT.stopRetryAfterMicros())),
       new Line(duration(LineLimits.DEFAULT.firstLineTimeoutMicros()),
-          duration(LineLimits.DEFAULT.malformedLingerMicros()),
-          LineLimits.DEFAULT.maxPings()),
+          duration(LineLimits.DEFAULT.malformedLingerMicros()), LineLimits.DEFAULT.maxPings()),
       new Sockets(duration(SocketLimits.DEFAULT.lingerMicros()), new Size(SocketLimits.DEFAULT.maxQueuedBytes()),
           new Size(SocketLimits.DEFAULT.maxDiscardedBytes()), duration(SocketLimits.DEFAULT.acceptPauseMicros()),
           SocketLimits.DEFAULT.backlog()),
       new Directory(duration(WatchTiming.DEFAULT.silenceTimeoutMicros()),
-          duration(WatchTiming.DEFAULT.firstLineTimeoutMicros()),
-          duration(WatchTiming.DEFAULT.initialPauseMicros()), duration(WatchTiming.DEFAULT.maxPauseMicros())));
+          duration(WatchTiming.DEFAULT.firstLineTimeoutMicros()), duration(WatchTiming.DEFAULT.initialPauseMicros()),
+          duration(WatchTiming.DEFAULT.maxPauseMicros())));
 
   private static Duration duration(long micros) {
     return Duration.ofNanos(micros * 1000);
--- a/proxy/src/main/java/amberhoist/config/PlatformConfig.java
+++ b/proxy/src/main/java/amberhoist/config/PlatformConfig.java
@@ -35,10 +35,8 @@
  * @param sharedFolder folder shared by the processes of an upgrade, null if there is none
  */
 public record PlatformConfig(String name, InetSocketAddress listenAddress, InetSocketAddress directoryAddress,
-    long seed,
-    int maxDescriptors, DirectoryUpdate initialUpdate, Settings settings, Limits limits,
-    InetSocketAddress managementAddress,
-    Path sharedFolder) {
+    long seed, int maxDescriptors, DirectoryUpdate initialUpdate, Settings settings, Limits limits,
+    InetSocketAddress managementAddress, Path sharedFolder) {
   private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
   private static final long DEFAULT_CONNECT_TIMEOUT_MICROS = 250_000;
   private static final long DEFAULT_MAX_CLIENT_WAIT_MICROS = 3_000_000;
@@ -57,8 +55,8 @@
       return read(in, environment, clock);
     } catch (IOException | RuntimeException fault) {
       String firstLine = String.valueOf(fault.getMessage()).lines().findFirst().orElse("");
-      throw new InvalidConfigException("cannot use " + file + ": " + fault.getClass()
-          .getSimpleName() + ": " + firstLine);
+      throw new InvalidConfigException(
+          "cannot use " + file + ": " + fault.getClass().getSimpleName() + ": " + firstLine);
     }
   }
 
@@ -121,15 +119,15 @@
     require(reader != null, "settings is missing");
     require(sockets > 0, "limits.sockets must be positive");
     Settings settings = reader.settings();
-    long maxClientWait = 0;
+    long maxClientWaitMicros = 0;
     for (int i = 0; i < settings.requestClasses().size(); i++) {
-      maxClientWait = Math.max(maxClientWait,
+      maxClientWaitMicros = Math.max(maxClientWaitMicros,
           reader.wholeNumber("lanes." + i + ".give-up", DEFAULT_MAX_CLIENT_WAIT_MICROS));
     }
     return new PlatformConfig(name == null ? "" : name, Address.parse(listen), Address.parse(discovery),
         seed == null ? System.nanoTime() : Long.parseUnsignedLong(seed, 16), sockets, known, settings,
         new Limits(reader.wholeNumber("limits.dial-timeout", DEFAULT_CONNECT_TIMEOUT_MICROS),
-            maxClientWait == 0 ? DEFAULT_MAX_CLIENT_WAIT_MICROS : maxClientWait,
+            maxClientWaitMicros == 0 ? DEFAULT_MAX_CLIENT_WAIT_MICROS : maxClientWaitMicros,
             reader.namesOf("lanes"), reader.namesOf("tenants")),
         mgmt == null || mgmt.isEmpty() ? null : Address.parse(mgmt), sharedFolder(environment.get("TMPDIR")));
   }
--- a/proxy/src/main/java/amberhoist/config/ProxyConfig.java
+++ b/proxy/src/main/java/amberhoist/config/ProxyConfig.java
@@ -80,30 +80,30 @@
   private static ProxyConfig load(ConfigSources sources, Clock clock, boolean isReload) throws InvalidConfigException {
     if (sources.isPlatformOnly()) {
       Map<String, String> environment = sources.environment();
-      PlatformConfig config = isReload ? PlatformConfig.reload(environment, clock)
+      PlatformConfig platform = isReload ? PlatformConfig.reload(environment, clock)
           : PlatformConfig.load(environment, clock);
-      return new ProxyConfig(config, OperatorConfig.DEFAULT, Map.of());
+      return new ProxyConfig(platform, OperatorConfig.DEFAULT, Map.of());
     }
     OperatorConfigResult result = readOperatorKeys(sources, isReload);
     OperatorConfig operator = result.operator();
-    PlatformConfig config = null;
+    PlatformConfig platform = null;
     try {
-      config = PlatformConfig.load(effectiveEnvironment(sources.environment(), operator), clock);
+      platform = PlatformConfig.load(effectiveEnvironment(sources.environment(), operator), clock);
     } catch (InvalidConfigException fault) {
       result.problems().add(new ConfigProblem("platform", "", fault.getMessage()));
     }
     if (!result.problems().isEmpty()) {
       throw new InvalidConfigException(result.problems());
     }
-    return new ProxyConfig(config.withMaxDescriptors(operator.limits().descriptors()), operator, result.origins());
+    return new ProxyConfig(platform.withMaxDescriptors(operator.limits().descriptors()), operator, result.origins());
   }
 
   /** Returns the environment with the platform's variables set to the effective values of the operator's keys. */
   private static Map<String, String> effectiveEnvironment(Map<String, String> environment, OperatorConfig operator) {
     Map<String, String> effective = new HashMap<>(environment);
-    Map.of("LB_NAME", operator.instance().name(), "LB_LISTEN", operator.instance().listen(), "LB_DISCOVERY",
-        operator.instance().directory(), "LB_CONFIG", operator.instance().platform(), "LB_MGMT",
-        operator.instance().mgmt()).forEach((name, value) -> {
+    Map.of("LB_NAME", operator.instance().name(), "LB_LISTEN", operator.instance().listen(),
+        "LB_DISCOVERY", operator.instance().directory(), "LB_CONFIG", operator.instance().platform(),
+        "LB_MGMT", operator.instance().mgmt()).forEach((name, value) -> {
           if (value.isEmpty()) {
             effective.remove(name);
           } else {
@@ -170,8 +170,8 @@
   }
 
   /** Formats the effective values of the operator's keys, one per line, each with its origin. */
-  public static String formatKeys(ProxyConfig setup) {
-    return ReferencePages.formatKeys(new OperatorConfigResult(setup.operator(), setup.origins(), List.of()));
+  public static String formatKeys(ProxyConfig config) {
+    return ReferencePages.formatKeys(new OperatorConfigResult(config.operator(), config.origins(), List.of()));
   }
 
   /** Returns the paths of keys whose values differ and that take effect only after a restart. */
--- a/proxy/src/main/java/amberhoist/config/schema/RawValue.java
+++ b/proxy/src/main/java/amberhoist/config/schema/RawValue.java
@@ -7,8 +7,7 @@
  *
  * @param origin origin of the value: a file and line, an environment variable or a flag
  * @param text the value as text
- * @param isQuoted whether the value is a quoted string; null if the source does not distinguish strings from other
- * types
+ * @param isQuoted whether the value is a quoted string; null if the source does not tell strings from other types
  * @param items the elements if the value is a list, otherwise null
  * @param isScalar whether the value is a scalar, neither a list nor a table
  */
--- a/proxy/src/main/java/amberhoist/config/schema/Schema.java
+++ b/proxy/src/main/java/amberhoist/config/schema/Schema.java
@@ -268,9 +268,9 @@
       String knownName = known.substring(known.lastIndexOf('.') + 1);
       int pathDistance = distance.apply(pattern, known);
       int nameDistance = distance.apply(name, knownName) + 1; // a known key in another table
-      int steps = Math.min(pathDistance, nameDistance);
-      if (steps < minDistance && steps <= Math.max(2, knownName.length() / 2)) {
-        minDistance = steps;
+      int editDistance = Math.min(pathDistance, nameDistance);
+      if (editDistance < minDistance && editDistance <= Math.max(2, knownName.length() / 2)) {
+        minDistance = editDistance;
         nearest = known;
       }
     }
--- a/proxy/src/main/java/amberhoist/config/schema/ValueFormat.java
+++ b/proxy/src/main/java/amberhoist/config/schema/ValueFormat.java
@@ -111,7 +111,7 @@
         .collect(Collectors.joining(", "));
   }
 
-  /** Formats a value so that {@link #parse} reads it back; strings and enum constants come without quotes. */
+  /** Formats a value so that {@link #parse} reads it back; strings and enum constants are not quoted. */
   public static String format(Object value) {
     if (value instanceof Duration duration) {
       long micros = duration.toNanos() / 1000;
--- a/proxy/src/main/java/amberhoist/log/EventLog.java
+++ b/proxy/src/main/java/amberhoist/log/EventLog.java
@@ -14,15 +14,15 @@
 
 /**
  * Logs events through SLF4J, with their ids and fields, and limits the rate of each kind of event that clients or
- * providers can cause. Thread-safe. Once {@link #redirectStandardError} has been called, it never blocks on
- * a slow reader.
+ * providers can cause. Thread-safe. Once {@link #redirectStandardError} has been called, it never blocks on a
+ * slow reader.
  */
 public final class EventLog {
   private static final int MAX_TEXT_CHARS = 2000; // of a field or message, which may come from a client
   private static BoundedOutputStream output;
   private static boolean json;
 
-  private final Map<Event, RateLimiter> limits = new EnumMap<>(Event.class);
+  private final Map<Event, RateLimiter> rateLimiters = new EnumMap<>(Event.class);
   private final LongSupplier nanos;
   private final String instance;
   private LogSettings settings;
@@ -61,8 +61,8 @@
    */
   public static synchronized void redirectStandardError(int maxQueuedBytes, EventLog dropLog) {
     output = new BoundedOutputStream(new FileOutputStream(FileDescriptor.err), maxQueuedBytes,
-        lines -> dropLog.log(Event.LOG_DROPPED, "lines were dropped, standard error is read too slowly", "lines",
-            lines));
+        lines -> dropLog.log(Event.LOG_DROPPED, "lines were dropped, standard error is read too slowly",
+            "lines", lines));
     System.setErr(new PrintStream(output, false, StandardCharsets.UTF_8));
   }
 
@@ -119,12 +119,12 @@
     if (!event.isRateLimited()) {
       return 0;
     }
-    RateLimiter limit = limits.computeIfAbsent(event, key -> new RateLimiter());
-    if (!limit.tryAcquire(nanos.getAsLong(), settings.linesPerSecond(), settings.burst())) {
+    RateLimiter limiter = rateLimiters.computeIfAbsent(event, key -> new RateLimiter());
+    if (!limiter.tryAcquire(nanos.getAsLong(), settings.linesPerSecond(), settings.burst())) {
       suppressedLines++;
       return -1;
     }
-    return limit.takeSuppressed();
+    return limiter.takeSuppressed();
   }
 
   /** The number of lines suppressed by rate limits so far. */
@@ -137,8 +137,8 @@
     for (Event event : Event.values()) {
       long count;
       synchronized (this) {
-        RateLimiter limit = limits.get(event);
-        count = limit == null ? 0 : limit.takeSuppressed();
+        RateLimiter limiter = rateLimiters.get(event);
+        count = limiter == null ? 0 : limiter.takeSuppressed();
       }
       if (count > 0) {
         log(Event.LOG_SUPPRESSED, "lines were suppressed", "of", event.id(), "lines", count);
@@ -150,7 +150,7 @@
     Logger logger = LoggerFactory.getLogger(event.logger());
     LoggingEventBuilder line = logger.makeLoggingEventBuilder(event.level());
     if (!json) {
-      line = line.addKeyValue("time", Instant.now()); // the text backend's own costs 3.6 MB of resident memory
+      line = line.addKeyValue("time", Instant.now()); // the text backend's own time costs 3.6 MB of resident memory
     }
     line = line.addKeyValue("event", event.id()).addKeyValue("instance", instance);
     for (int i = 0; i + 1 < fields.length; i += 2) {
--- a/proxy/src/main/java/amberhoist/log/JsonLines.java
+++ b/proxy/src/main/java/amberhoist/log/JsonLines.java
@@ -31,12 +31,12 @@
 
   @Override
   public ExecutionStatus configure(LoggerContext context) {
-    StandardErrorAppender lines = new StandardErrorAppender();
-    lines.setContext(context);
-    lines.start();
+    StandardErrorAppender appender = new StandardErrorAppender();
+    appender.setContext(context);
+    appender.start();
     Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
     root.setLevel(Level.TRACE); // EventLog filters by level
-    root.addAppender(lines);
+    root.addAppender(appender);
     return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
   }
 
--- a/proxy/src/main/java/amberhoist/log/RateLimiter.java
+++ b/proxy/src/main/java/amberhoist/log/RateLimiter.java
@@ -9,7 +9,7 @@
   private boolean started;
   private long suppressed;
 
-  /** Takes a token if there is one; otherwise counts a suppressed event and returns false. Rate is per second. */
+  /** Takes a token if there is one; otherwise counts a suppressed event and returns false. The rate is per second. */
   boolean tryAcquire(long nowNanos, int rate, int burst) {
     tokens = started ? Math.min(burst, tokens + Math.max(0, nowNanos - lastNanos) / NANOS_PER_SECOND * rate) : burst;
     started = true;
--- a/proxy/src/main/java/amberhoist/mgmt/ManagementMetrics.java
+++ b/proxy/src/main/java/amberhoist/mgmt/ManagementMetrics.java
@@ -16,8 +16,8 @@
  * @param attempts attempts whose line has been written completely
  * @param inFlight invocations that have started and not ended
  * @param knownProviders listed providers
- * @param excludedProviders listed providers that get no new requests, suspended by an operator or excluded
- *     by the balancer
+ * @param excludedProviders listed providers that get no new requests: suspended by an operator, or
+ *     excluded by the balancer
  */
 public record ManagementMetrics(Map<String, Long> served, Map<String, Long> refused, Map<String, Long> failed,
     long attempts, long inFlight, long knownProviders, long excludedProviders) {
--- a/proxy/src/main/java/amberhoist/service/LoggingTelemetry.java
+++ b/proxy/src/main/java/amberhoist/service/LoggingTelemetry.java
@@ -42,8 +42,8 @@
   /** Logs failures of the directory watch. */
   record DirectoryFaultLog(EventLog log) implements DirectoryWatch.Listener {
     @Override
-    public void onWatchFailed(String why, long pause) {
-      log.log(Event.DIRECTORY_FAILED, "the directory watch failed", "why", why, "pause_ms", pause);
+    public void onWatchFailed(String why, long pauseMillis) {
+      log.log(Event.DIRECTORY_FAILED, "the directory watch failed", "why", why, "pause_ms", pauseMillis);
     }
 
     @Override
--- a/proxy/src/main/java/amberhoist/service/LoopOperations.java
+++ b/proxy/src/main/java/amberhoist/service/LoopOperations.java
@@ -23,7 +23,7 @@
 final class LoopOperations implements ManagementOperations {
   private final EventLoop loop;
   private final Core core;
-  private final ProviderRegistry addresses;
+  private final ProviderRegistry registry;
   private final Counters counters;
   private final BooleanSupplier stopping;
   private final EventLog log;
@@ -35,11 +35,11 @@
    * @param stopping whether the proxy is stopping; called on the loop's thread
    * @param coordinator shares suspensions with the other processes of an upgrade; null if there can be none
    */
-  LoopOperations(EventLoop loop, Core core, ProviderRegistry addresses, Counters counters, BooleanSupplier stopping,
+  LoopOperations(EventLoop loop, Core core, ProviderRegistry registry, Counters counters, BooleanSupplier stopping,
       EventLog log, UpgradeCoordinator coordinator) {
     this.loop = loop;
     this.core = core;
-    this.addresses = addresses;
+    this.registry = registry;
     this.counters = counters;
     this.stopping = stopping;
     this.log = log;
@@ -61,13 +61,13 @@
   @Override
   public CompletableFuture<String> notReadyReason() {
     return runOnLoop(() -> stopping.getAsBoolean() ? "the proxy is stopping"
-        : addresses.listedProviders().isEmpty() ? "it has no list of viewer hosts" : "");
+        : registry.listedProviders().isEmpty() ? "it has no list of viewer hosts" : "");
   }
 
   /** Whether this provider is known: the directory lists it, or it was suspended and has left the directory since. */
   private boolean isKnown(String provider) {
     return core.suspended().contains(provider)
-        || addresses.listedProviders().stream().anyMatch(server -> server.name().equals(provider));
+        || registry.listedProviders().stream().anyMatch(server -> server.name().equals(provider));
   }
 
   @Override
@@ -109,7 +109,7 @@
   public CompletableFuture<ManagementMetrics> metrics() {
     return runOnLoop(() -> {
       SetupOutcomes outcomes = counters.setupOutcomes();
-      List<Server> listed = addresses.listedProviders();
+      List<Server> listed = registry.listedProviders();
       long now = loop.now();
       return new ManagementMetrics(outcomes.endedByClass(Outcome.SERVED), outcomes.endedByClass(Outcome.REFUSED),
           outcomes.endedByClass(Outcome.FAILED), outcomes.attempts(), core.invocationCount(), listed.size(),
--- a/proxy/src/main/java/amberhoist/service/Service.java
+++ b/proxy/src/main/java/amberhoist/service/Service.java
@@ -56,87 +56,88 @@
   private final EventLog log;
   private final Counters counters = new Counters();
   private final Latencies latencies = new Latencies();
-  private final ProviderRegistry addresses = new ProviderRegistry();
+  private final ProviderRegistry registry = new ProviderRegistry();
   private final DescriptorBudget descriptors = new DescriptorBudget(this::evict);
   private final Transport transport;
   private final LineClientHandler clients;
   private final Acceptor acceptor;
   private final Core core;
-  private final DirectoryWatch directory;
+  private final DirectoryWatch directoryWatch;
   private final Set<CompletableFuture<?>> pendingQueries = ConcurrentHashMap.newKeySet();
   private final CountDownLatch stopped = new CountDownLatch(1);
-  private volatile ProxyConfig setup;
-  private volatile AdminSocket admin;
+  private volatile ProxyConfig config;
+  private volatile AdminSocket adminSocket;
   private volatile ManagementServer managementServer;
   private volatile UpgradeCoordinator coordinator;
   private int otherDescriptors; // held by the other processes of this proxy; loop thread only
   private List<String> restartNeeded = List.of(); // loop thread only
   private boolean stopping; // loop thread only
-  private InetSocketAddress discovery; // loop thread only
+  private InetSocketAddress directoryAddress; // loop thread only
   private long servingSinceMicros;
 
-  private Service(ProxyConfig setup) throws IOException {
-    this.setup = setup;
-    PlatformConfig config = setup.platform();
-    OperatorConfig operator = setup.operator();
-    log = new EventLog(config.name(), operator.logSettings());
+  private Service(ProxyConfig config) throws IOException {
+    this.config = config;
+    PlatformConfig platform = config.platform();
+    OperatorConfig operator = config.operator();
+    log = new EventLog(platform.name(), operator.logSettings());
     loop = new EventLoop(fault -> log.logException(Event.LOOP_FAULT, "a task on the loop failed", fault),
         lagMicros -> latencies.record(Span.LOOP_LAG, lagMicros));
     transport = new Transport(loop, descriptors, operator.socketLimits());
     clients = new LineClientHandler(loop, transport, descriptors, counters, log);
-    LineProviderHandler providers = new LineProviderHandler(loop, transport, counters, addresses, (provider, fault) ->
-        log.log(Event.PROVIDER_UNDIALLED, "cannot connect", "provider", provider, "why", fault));
+    LineProviderHandler providers = new LineProviderHandler(loop, transport, counters, registry,
+        (provider, fault) -> log.log(Event.PROVIDER_UNDIALLED, "cannot connect", "provider", provider, "why", fault));
     acceptor = new Acceptor(loop, descriptors, counters, operator.socketLimits(), clients::onAccepted);
-    CommandDispatcher switchboard = new CommandDispatcher(transport, providers, this::ensureDirectoryWatch,
+    CommandDispatcher dispatcher = new CommandDispatcher(transport, providers, this::ensureDirectoryWatch,
         message -> log.log(Event.MODULE_SAID, message));
-    core = new Core(new Policy(), loop.timerWheel(), switchboard, counters, config.limits(), operator.coreTiming(),
+    core = new Core(new Policy(), loop.timerWheel(), dispatcher, counters, platform.limits(), operator.coreTiming(),
         new LoggingTelemetry(log, latencies));
-    discovery = config.directoryAddress();
-    directory = new DirectoryWatch(loop, core, addresses, counters, operator.watchTiming(), discovery,
-        config.initialUpdate().index(), config.seed(), new LoggingTelemetry.DirectoryFaultLog(log));
+    directoryAddress = platform.directoryAddress();
+    directoryWatch = new DirectoryWatch(loop, core, registry, counters, operator.watchTiming(), directoryAddress,
+        platform.initialUpdate().index(), platform.seed(), new LoggingTelemetry.DirectoryFaultLog(log));
     clients.setCore(core);
     providers.setCore(core);
-    applyLimits(setup);
+    applyLimits(config);
   }
 
-  private void evict(Connection c) {
-    clients.evict(c);
+  private void evict(Connection connection) {
+    clients.evict(connection);
   }
 
   private void ensureDirectoryWatch() {
-    directory.ensureWatching();
+    directoryWatch.ensureWatching();
   }
 
-  private void applyLimits(ProxyConfig newSetup) {
-    int reserved = OWN_DESCRIPTORS + (newSetup.platform().managementAddress() == null ? 0
-        : ManagementServer.MAX_DESCRIPTORS);
-    int limit = newSetup.platform().maxDescriptors();
+  private void applyLimits(ProxyConfig newConfig) {
+    int reserved = OWN_DESCRIPTORS + (newConfig.platform().managementAddress() == null
+        ? 0 : ManagementServer.MAX_DESCRIPTORS);
+    int limit = newConfig.platform().maxDescriptors();
     limit = otherDescriptors == 0 ? limit // during an upgrade each process may take half of what none holds yet
         : reserved + descriptors.held() + Math.max(0, limit - otherDescriptors - reserved - descriptors.held()) / 2;
     descriptors.setLimit(Math.max(MIN_DESCRIPTORS, limit - reserved));
     if (coordinator != null) {
       coordinator.setHeldDescriptors(reserved + descriptors.held());
     }
-    counters.setupOutcomes().addClasses(newSetup.platform().settings().requestClasses().stream().map(RequestClass::name)
-        .toList());
-    clients.limits(newSetup.operator().lineLimits(), newSetup.platform().settings().maxRetryAfterMicros());
+    counters.setupOutcomes().addClasses(
+        newConfig.platform().settings().requestClasses().stream().map(RequestClass::name).toList());
+    clients.limits(newConfig.operator().lineLimits(), newConfig.platform().settings().maxRetryAfterMicros());
   }
 
   /** Starts a proxy with the platform's configuration and default operator settings; returns when it listens. */
-  public static Service start(PlatformConfig config) throws IOException {
-    return start(new ProxyConfig(config, OperatorConfig.DEFAULT, Map.of()));
+  public static Service start(PlatformConfig platform) throws IOException {
+    return start(new ProxyConfig(platform, OperatorConfig.DEFAULT, Map.of()));
   }
 
   /** Starts a proxy; returns when it listens. */
-  public static Service start(ProxyConfig setup) throws IOException {
-    Service service = new Service(setup);
-    PlatformConfig config = setup.platform();
+  public static Service start(ProxyConfig config) throws IOException {
+    Service service = new Service(config);
+    PlatformConfig platform = config.platform();
     CompletableFuture<Void> coreStarted = new CompletableFuture<>();
     service.loop.post(() -> {
       try {
-        service.addresses.update(config.initialUpdate());
-        service.core.start(service.loop.now(), config.settings(), config.seed(), config.initialUpdate().providers());
-        service.directory.ensureWatching();
+        service.registry.update(platform.initialUpdate());
+        service.core.start(service.loop.now(), platform.settings(), platform.seed(),
+            platform.initialUpdate().providers());
+        service.directoryWatch.ensureWatching();
         coreStarted.complete(null);
       } catch (RuntimeException fault) {
         coreStarted.completeExceptionally(fault);
@@ -148,7 +149,7 @@
       service.joinOtherProcesses();
       service.loop.post(() -> {
         try {
-          service.acceptor.listen(config.listenAddress(), config.managementAddress() != null);
+          service.acceptor.listen(platform.listenAddress(), platform.managementAddress() != null);
           service.servingSinceMicros = service.loop.now();
           service.logSuppressed();
           listening.complete(null);
@@ -163,7 +164,7 @@
       service.startAdminSocket();
       service.startManagementServer();
       InetSocketAddress address = service.address();
-      service.log.log(Event.PROXY_SERVES, config.name() + " serves on " + address, "address", address);
+      service.log.log(Event.PROXY_SERVES, platform.name() + " serves on " + address, "address", address);
       return service;
     } catch (InterruptedException | ExecutionException | IOException fault) {
       service.kill();
@@ -174,32 +175,32 @@
 
   /** Where upgrades are possible, shares suspensions and the descriptor limit with this proxy's other processes. */
   private void joinOtherProcesses() {
-    PlatformConfig config = setup.platform();
-    if (config.managementAddress() == null || config.sharedFolder() == null) {
+    PlatformConfig platform = config.platform();
+    if (platform.managementAddress() == null || platform.sharedFolder() == null) {
       return;
     }
-    coordinator = new UpgradeCoordinator(config.sharedFolder(), new UpgradeListener(loop, core, descriptors -> {
-      otherDescriptors = descriptors;
-      applyLimits(setup);
+    coordinator = new UpgradeCoordinator(platform.sharedFolder(), new UpgradeListener(loop, core, heldByOthers -> {
+      otherDescriptors = heldByOthers;
+      applyLimits(config);
     }), reason -> log.log(Event.UPGRADE_FAILED, "cannot read or store the upgrade record", "why", reason));
     coordinator.setHeldDescriptors(OWN_DESCRIPTORS + ManagementServer.MAX_DESCRIPTORS);
     coordinator.join();
   }
 
   private void startAdminSocket() throws IOException {
-    OperatorConfig.Admin keys = setup.operator().admin();
+    OperatorConfig.Admin keys = config.operator().admin();
     SocketAddress address = AdminAddress.parse(keys.listen());
     if (address != null) {
-      admin = new AdminSocket(address, keys.timeout(), new AdminSource(), log);
+      adminSocket = new AdminSocket(address, keys.timeout(), new AdminSource(), log);
     }
   }
 
   /** Called last, so that the management API answers only once the proxy serves. */
   private void startManagementServer() throws IOException {
-    InetSocketAddress address = setup.platform().managementAddress();
+    InetSocketAddress address = config.platform().managementAddress();
     if (address != null) {
       managementServer = new ManagementServer(address,
-          new Routes(new LoopOperations(loop, core, addresses, counters, () -> stopping, log, coordinator)),
+          new Routes(new LoopOperations(loop, core, registry, counters, () -> stopping, log, coordinator)),
           fault -> log.log(Event.DOOR_FAILED, "cannot accept a connection", "why", fault));
       log.log(Event.DOOR_LISTENS, "the management API listens", "address", managementServer.address());
     }
@@ -222,10 +223,10 @@
 
   /** The address of the admin socket, or null if there is none. */
   public SocketAddress adminAddress() {
-    return admin == null ? null : admin.address();
+    return adminSocket == null ? null : adminSocket.address();
   }
 
-  /** Calls {@link #reload(Sources)} with the environment as the only source. */
+  /** Calls {@link #reload(ConfigSources)} with the environment as the only source. */
   public void reload(Map<String, String> environment) {
     reload(ConfigSources.ofEnvironment(environment));
   }
@@ -237,8 +238,8 @@
   public synchronized void reload(ConfigSources sources) {
     Runnable task;
     try {
-      ProxyConfig newSetup = ProxyConfig.reload(sources, loop.clock());
-      task = () -> apply(newSetup);
+      ProxyConfig newConfig = ProxyConfig.reload(sources, loop.clock());
+      task = () -> apply(newConfig);
     } catch (InvalidConfigException fault) {
       task = () -> {
         counters.increment(Count.RELOADS_REFUSED);
@@ -253,22 +254,23 @@
     }
   }
 
-  /** Applies a setup in a single task on the loop's thread, so that no other task sees it half applied. */
-  private void apply(ProxyConfig newSetup) {
+  /** Applies a configuration in a single task on the loop's thread, so that no other task sees it half applied. */
+  private void apply(ProxyConfig newConfig) {
     counters.increment(Count.RELOADS);
-    restartNeeded = ProxyConfig.keysNeedingRestart(setup.operator(), newSetup.operator());
-    ProxyConfig old = setup;
-    OperatorConfig operator = newSetup.operator();
-    setup = new ProxyConfig(newSetup.platform(), operator.withRestartKeysOf(old.operator()), newSetup.origins());
-    applyLimits(newSetup);
+    restartNeeded = ProxyConfig.keysNeedingRestart(config.operator(), newConfig.operator());
+    ProxyConfig old = config;
+    OperatorConfig operator = newConfig.operator();
+    config = new ProxyConfig(newConfig.platform(), operator.withRestartKeysOf(old.operator()), newConfig.origins());
+    applyLimits(newConfig);
     transport.limits(operator.socketLimits());
     acceptor.limits(operator.socketLimits());
-    directory.timing(operator.watchTiming());
-    core.configure(loop.now(), newSetup.platform().settings(), newSetup.platform().limits(), operator.coreTiming());
-    discovery = newSetup.platform().directoryAddress();
-    directory.changeAddress(discovery);
+    directoryWatch.timing(operator.watchTiming());
+    core.configure(loop.now(), newConfig.platform().settings(), newConfig.platform().limits(), operator.coreTiming());
+    directoryAddress = newConfig.platform().directoryAddress();
+    directoryWatch.changeAddress(directoryAddress);
     log.configure(operator.logSettings());
-    log.log(Event.CONFIG_RELOADED, "configuration read again, directory at " + discovery, "directory", discovery);
+    log.log(Event.CONFIG_RELOADED, "configuration read again, directory at " + directoryAddress, "directory",
+        directoryAddress);
     if (!restartNeeded.isEmpty()) {
       log.log(Event.CONFIG_RESTART_NEEDED, "a restart is needed", "keys", String.join(",", restartNeeded));
     }
@@ -279,9 +281,9 @@
     boolean hasSuccessor = coordinator != null && coordinator.hasSuccessor();
     if (hasSuccessor) {
       coordinator.storeBindings(runOnLoop(() -> {
-        Map<String, String> clients = new HashMap<>();
-        core.forEachEstablished(clients::put);
-        return clients;
+        Map<String, String> bindings = new HashMap<>();
+        core.forEachEstablished(bindings::put);
+        return bindings;
       }));
     }
     log.log(Event.PROXY_STOPS, hasSuccessor ? "stopping, another process has taken over" : "stopping");
@@ -304,19 +306,19 @@
 
   /** No invocation is left: sends idle and newly arriving clients a closing line, then closes everything. */
   private void onDrained() {
-    clients.rejectNewClients(setup.operator().coreTiming().stopRetryAfterMicros());
+    clients.rejectNewClients(config.operator().coreTiming().stopRetryAfterMicros());
     loop.timerWheel().arm(loop.now() + CLOSE_DELAY_MICROS / 2, at -> acceptor.close());
     loop.timerWheel().arm(loop.now() + CLOSE_DELAY_MICROS, at -> {
       transport.closeAll();
-      directory.close();
+      directoryWatch.close();
       stopped.countDown();
     });
   }
 
   /** Closes everything at once, as if the process had been killed. */
   public void kill() {
-    if (admin != null) {
-      admin.close();
+    if (adminSocket != null) {
+      adminSocket.close();
     }
     if (managementServer != null) {
       managementServer.close();
@@ -340,8 +342,8 @@
 
   /** A snapshot of the instance. */
   public Status status() {
-    return runOnLoop(() -> StatusCollector.collect(setup, stopping, this, (loop.now() - servingSinceMicros) / 1000,
-        transport.size(), core, addresses, counters, latencies, log, restartNeeded, discovery));
+    return runOnLoop(() -> StatusCollector.collect(config, stopping, this, (loop.now() - servingSinceMicros) / 1000,
+        transport.size(), core, registry, counters, latencies, log, restartNeeded, directoryAddress));
   }
 
   /** The event loop, for tests that block it. */
@@ -380,7 +382,7 @@
 
     @Override
     public String config() {
-      return ProxyConfig.formatKeys(setup);
+      return ProxyConfig.formatKeys(config);
     }
   }
 }
--- a/proxy/src/main/java/amberhoist/service/StatusCollector.java
+++ b/proxy/src/main/java/amberhoist/service/StatusCollector.java
@@ -27,16 +27,15 @@
 final class StatusCollector {
   private StatusCollector() {}
 
-  static Status collect(ProxyConfig setup, boolean stopping, Service service, long uptimeMillis, int connections,
-      Core core,
-      ProviderRegistry addresses, Counters counters, Latencies latencies, EventLog log, List<String> restartNeeded,
-      InetSocketAddress directoryAddress) {
+  static Status collect(ProxyConfig config, boolean stopping, Service service, long uptimeMillis, int connections,
+      Core core, ProviderRegistry registry, Counters counters, Latencies latencies, EventLog log,
+      List<String> restartNeeded, InetSocketAddress directoryAddress) {
     Map<String, Integer> establishedByProvider = new HashMap<>();
     core.forEachEstablished((key, provider) -> establishedByProvider.merge(provider, 1, Integer::sum));
     List<Provider> providers = new ArrayList<>();
-    for (Server server : addresses.listedProviders()) {
+    for (Server server : registry.listedProviders()) {
       providers.add(new Provider(server.name(), server.zone(), server.state().name().toLowerCase(Locale.ROOT),
-          String.valueOf(addresses.addressOf(server.name())), establishedByProvider.getOrDefault(server.name(), 0)));
+          String.valueOf(registry.addressOf(server.name())), establishedByProvider.getOrDefault(server.name(), 0)));
       establishedByProvider.remove(server.name());
     }
     establishedByProvider.forEach((name, count) -> providers.add(new Provider(name, "", "unlisted", "", count)));
@@ -44,10 +43,9 @@
     copyLatencies(latencies).forEach((span, histogram) -> spans.put(span.name().toLowerCase(Locale.ROOT),
         new Latency(histogram.getTotalCount(), histogram.getValueAtPercentile(50),
             histogram.getValueAtPercentile(99), histogram.getMaxValue())));
-    return new Status(setup.platform().name(), version(), stopping ? "stopping" : "serving", listenAddress(service),
+    return new Status(config.platform().name(), version(), stopping ? "stopping" : "serving", listenAddress(service),
         String.valueOf(directoryAddress), uptimeMillis, connections, core.invocationCount(), providers,
-        counters.nonZero(), spans,
-        new LogStatus(log.suppressedLines(), EventLog.droppedLines()), restartNeeded);
+        counters.nonZero(), spans, new LogStatus(log.suppressedLines(), EventLog.droppedLines()), restartNeeded);
   }
 
   private static String listenAddress(Service service) {
--- a/proxy/src/main/java/amberhoist/service/UpgradeListener.java
+++ b/proxy/src/main/java/amberhoist/service/UpgradeListener.java
@@ -8,38 +8,39 @@
 import java.util.Set;
 import java.util.function.IntConsumer;
 
-/** Applies what the processes of an upgrade share on the loop's thread. */
+/** Applies on the loop's thread what the processes of an upgrade share. */
 final class UpgradeListener implements UpgradeCoordinator.Listener {
   private final EventLoop loop;
   private final Core core;
-  private final IntConsumer otherDescriptors;
+  private final IntConsumer otherDescriptorsListener;
 
   /**
    * Creates a listener that changes this core.
    *
-   * @param otherDescriptors called on the loop's thread with the number of descriptors that other processes hold
+   * @param otherDescriptorsListener called on the loop's thread with the number of descriptors that the other
+   *     processes hold
    */
-  UpgradeListener(EventLoop loop, Core core, IntConsumer otherDescriptors) {
+  UpgradeListener(EventLoop loop, Core core, IntConsumer otherDescriptorsListener) {
     this.loop = loop;
     this.core = core;
-    this.otherDescriptors = otherDescriptors;
+    this.otherDescriptorsListener = otherDescriptorsListener;
   }
 
   @Override
-  public void onSuspensionsChanged(Set<String> providers, Runnable done) {
+  public void onSuspensionsChanged(Set<String> providers, Runnable onApplied) {
     loop.postUrgent(() -> {
       core.setSuspended(loop.now(), providers);
-      done.run();
+      onApplied.run();
     });
   }
 
   @Override
-  public void onBindingsChanged(Map<String, String> clients) {
-    loop.postUrgent(() -> core.bindClients(loop.now(), new HashMap<>(clients)));
+  public void onBindingsChanged(Map<String, String> bindings) {
+    loop.postUrgent(() -> core.bindClients(loop.now(), new HashMap<>(bindings)));
   }
 
   @Override
   public void onOtherDescriptors(int descriptors) {
-    loop.postUrgent(() -> otherDescriptors.accept(descriptors));
+    loop.postUrgent(() -> otherDescriptorsListener.accept(descriptors));
   }
 }
--- a/proxy/src/main/java/amberhoist/simulator/SimulatedInstances.java
+++ b/proxy/src/main/java/amberhoist/simulator/SimulatedInstances.java
@@ -15,22 +15,22 @@
   static final class Instance {
     final SimulatorCommands commands;
     Balancer balancer;
-    private int reportField = -1;
+    private int utilizationField = -1;
 
     private Instance(SimulatorCommands commands) {
       this.commands = commands;
     }
 
-    void start(long now, Balancer.Settings settings, int newReportField, long seed) {
-      reportField = newReportField;
+    void start(long now, Balancer.Settings settings, int newUtilizationField, long seed) {
+      utilizationField = newUtilizationField;
       balancer = new Policy();
       balancer.start(now, settings, seed, commands);
     }
 
     /** Passes the utilization in a load report to the balancer; a report without it is ignored. */
     void onLoadReport(long now, String server, List<Double> reportFields) {
-      if (reportField >= 0 && reportField < reportFields.size()) {
-        balancer.onLoadReport(now, server, reportFields.get(reportField));
+      if (utilizationField >= 0 && utilizationField < reportFields.size()) {
+        balancer.onLoadReport(now, server, reportFields.get(utilizationField));
       }
     }
 
--- a/proxy/src/main/java/amberhoist/simulator/SimulatorCodec.java
+++ b/proxy/src/main/java/amberhoist/simulator/SimulatorCodec.java
@@ -26,12 +26,12 @@
 
   private final JsonParser in;
   private final JsonGenerator out;
-  private final SimulatedInstances session;
+  private final SimulatedInstances instances;
   private final List<List<Server>> listsById = new ArrayList<>();
   private final SimulatorMessage message = new SimulatorMessage();
   private long lineNumber = 1;
 
-  SimulatorCodec(InputStream input, OutputStream output, SimulatedInstances session) {
+  SimulatorCodec(InputStream input, OutputStream output, SimulatedInstances instances) {
     JsonFactory factory = new JsonFactory();
     try {
       in = factory.createParser(new BufferedInputStream(input, 1 << 16));
@@ -41,7 +41,7 @@
     }
     out.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
     out.setRootValueSeparator(null);
-    this.session = session;
+    this.instances = instances;
     for (int i = 0; i < MAX_LISTS; i++) {
       listsById.add(null);
     }
@@ -100,7 +100,7 @@
       String name = in.currentName();
       in.nextToken();
       if (name.equals("proxy")) {
-        instance = session.getOrCreate((int) readLong(), out);
+        instance = instances.getOrCreate((int) readLong(), out);
       } else if (name.equals("inbox")) {
         require(instance != null, "proxy must come before inbox");
         require(in.currentToken() == JsonToken.START_ARRAY, "inbox must be an array");
--- a/proxy/src/main/java/amberhoist/simulator/SimulatorMessage.java
+++ b/proxy/src/main/java/amberhoist/simulator/SimulatorMessage.java
@@ -13,7 +13,7 @@
 
 /**
  * One message from the simulator. The object is reused: each {@link #read} replaces all fields. A field that the
- * message does not contain is null, 0 or false; a list id or the index of the reported field is then -1.
+ * message does not contain is null, 0 or false; a list id or the index of the utilization field is then -1.
  */
 final class SimulatorMessage {
   String name;
--- a/proxy/src/main/java/amberhoist/upgrade/UpgradeCoordinator.java
+++ b/proxy/src/main/java/amberhoist/upgrade/UpgradeCoordinator.java
@@ -27,7 +27,7 @@
     void onSuspensionsChanged(Set<String> providers, Runnable onApplied);
 
     /** Another process moves its clients to this one; the map gives the provider of each client key. */
-    void onBindingsChanged(Map<String, String> clients);
+    void onBindingsChanged(Map<String, String> bindings);
 
     /** The number of descriptors that the other processes hold, 0 if there are none. */
     void onOtherDescriptors(int otherDescriptors);
@@ -104,8 +104,8 @@
   }
 
   /** Stores the provider of each of this process's clients, by client key, for the process that they are moved to. */
-  public void storeBindings(Map<String, String> clients) {
-    CompletableFuture.runAsync(() -> updateRecord(record -> record.withBindings(clients)), executor).join();
+  public void storeBindings(Map<String, String> bindings) {
+    CompletableFuture.runAsync(() -> updateRecord(record -> record.withBindings(bindings)), executor).join();
   }
 
   /** Whether a live process that started after this one serves. */
@@ -115,16 +115,16 @@
 
   private void poll() {
     try {
-      UpgradeRecord now = file.read();
-      if (!now.suspended().equals(lastSeen.suspended())) {
-        listener.onSuspensionsChanged(now.suspended(), () -> { });
+      UpgradeRecord current = file.read();
+      if (!current.suspended().equals(lastSeen.suspended())) {
+        listener.onSuspensionsChanged(current.suspended(), () -> { });
       }
       // Only the process that started last receives the bindings: clients are moved to it.
-      if (!now.bindings().equals(lastSeen.bindings()) && !now.hasSuccessor(token)) {
-        listener.onBindingsChanged(now.bindings());
+      if (!current.bindings().equals(lastSeen.bindings()) && !current.hasSuccessor(token)) {
+        listener.onBindingsChanged(current.bindings());
       }
-      lastSeen = now;
-      int others = withoutDeadMembers(now).members().stream().filter(member -> !member.token().equals(token))
+      lastSeen = current;
+      int others = withoutDeadMembers(current).members().stream().filter(member -> !member.token().equals(token))
           .mapToInt(Member::descriptors).sum();
       if (others != otherDescriptors || others > 0) {
         otherDescriptors = others;
--- a/proxy/src/main/java/amberhoist/upgrade/UpgradeRecordCodec.java
+++ b/proxy/src/main/java/amberhoist/upgrade/UpgradeRecordCodec.java
@@ -28,9 +28,9 @@
 
     private final boolean isNewerVersion;
 
-    UnreadableRecordException(String why, boolean newer) {
-      super(why);
-      this.isNewerVersion = newer;
+    UnreadableRecordException(String reason, boolean isNewerVersion) {
+      super(reason);
+      this.isNewerVersion = isNewerVersion;
     }
 
     /** Whether the record has a newer version of the format. */
--- a/proxy/src/main/java/amberhoist/upgrade/UpgradeRecordFile.java
+++ b/proxy/src/main/java/amberhoist/upgrade/UpgradeRecordFile.java
@@ -47,9 +47,9 @@
    */
   UpgradeRecord read() {
     try {
-      Object now = fileState();
-      if (!now.equals(lastFileState)) {
-        lastFileState = now;
+      Object state = fileState();
+      if (!state.equals(lastFileState)) {
+        lastFileState = state;
         lastRecord = UpgradeRecordCodec.decode(Files.readAllBytes(file));
       }
     } catch (NoSuchFileException missing) {
@@ -61,8 +61,8 @@
   }
 
   private Object fileState() throws IOException {
-    BasicFileAttributes now = Files.readAttributes(file, BasicFileAttributes.class);
-    return List.of(now.lastModifiedTime(), now.size(), String.valueOf(now.fileKey()));
+    BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+    return List.of(attributes.lastModifiedTime(), attributes.size(), String.valueOf(attributes.fileKey()));
   }
 
   /**
