--- a/lab/src/test/java/amberhoist/lab/DemoTest.java
+++ b/lab/src/test/java/amberhoist/lab/DemoTest.java
@@ -12,7 +12,7 @@
 
 class DemoTest {
   @Test
-  void clientIsPlacedElsewhereOnceItsProviderDrains() throws Exception {
+  void clientMovesToAnotherProviderWhenItsOwnDrains() throws Exception {
     ByteArrayOutputStream output = new ByteArrayOutputStream();
     try (Demo demo = new Demo(new PrintStream(output, true, StandardCharsets.UTF_8))) {
       DemoResult result = demo.run(5);
--- a/lab/src/test/java/amberhoist/lab/SimulationTest.java
+++ b/lab/src/test/java/amberhoist/lab/SimulationTest.java
@@ -108,8 +108,8 @@
     Experiment experiment = ExperimentFile.read(Path.of("experiments/smoke-faults.toml"), new ArrayList<>());
     boolean detected = false;
     for (long seed = 1; seed <= 3 && !detected; seed++) {
-      detected = !new Simulation(experiment, experiment.variants().get(0), seed, true, mutant).run().violations()
-          .isEmpty();
+      detected = !new Simulation(experiment, experiment.variants().get(0), seed, true, mutant)
+          .run().violations().isEmpty();
     }
     assertTrue(detected, "not detected: " + mutant);
   }
@@ -117,8 +117,9 @@
   @Test
   void overloadedColdProvidersBreakTheColdProviderRule() {
     Experiment experiment = ExperimentFile.read(Path.of("experiments/smoke-faults.toml"), new ArrayList<>());
-    Simulation world = new Simulation(experiment, experiment.variants().get(0), 1, false, Mutant.SWAMPS_COLD);
-    assertTrue(world.run().violations().stream().anyMatch(violation -> violation.rule().contains("cold provider")));
+    Simulation simulation = new Simulation(experiment, experiment.variants().get(0), 1, false, Mutant.SWAMPS_COLD);
+    assertTrue(
+        simulation.run().violations().stream().anyMatch(violation -> violation.rule().contains("cold provider")));
   }
 
   /** Proxies only estimate how many others there are, yet together they must keep a cold provider's warm-up budget. */
--- a/lab/src/test/java/amberhoist/lab/scale/ScaleSimulationTest.java
+++ b/lab/src/test/java/amberhoist/lab/scale/ScaleSimulationTest.java
@@ -10,7 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 class ScaleSimulationTest {
+  /** One millisecond, in microseconds. */
   private static final long MILLISECOND = 1_000;
+  /** One second, in microseconds. */
   private static final long SECOND = 1_000_000;
   private static final int REGIONS = 3;
 
--- a/proxy/src/test/java/amberhoist/cli/WarmUpBudgetProcessTest.java
+++ b/proxy/src/test/java/amberhoist/cli/WarmUpBudgetProcessTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Several proxy harness that do not communicate send requests to a provider that has just started. All together must
+ * Several proxy processes that do not communicate send requests to a provider that has just started. All together must
  * stay within its warm-up budget, a growing fraction of what a warm provider receives.
  */
 @Timeout(120)
--- a/proxy/src/test/java/amberhoist/config/ProxyConfigTest.java
+++ b/proxy/src/test/java/amberhoist/config/ProxyConfigTest.java
@@ -87,26 +87,26 @@
     Map<String, String> environment = new HashMap<>();
     Map<String, String> flags = new HashMap<>();
     ConfigSources sources = new ConfigSources(file, flags, environment);
-    ProxyConfig setup = ProxyConfig.load(sources, new Clock());
-    assertEquals("json", setup.platform().name());
-    assertEquals(300, setup.platform().maxDescriptors(), "the platform's JSON overrides the file");
-    assertEquals(9, setup.operator().log().rate(), "the file overrides the defaults");
-    assertEquals(20_000, setup.operator().coreTiming().answerMarginMicros());
-    assertEquals(OperatorConfig.DEFAULT.log().burst(), setup.operator().log().burst());
+    ProxyConfig config = ProxyConfig.load(sources, new Clock());
+    assertEquals("json", config.platform().name());
+    assertEquals(300, config.platform().maxDescriptors(), "the platform's JSON overrides the file");
+    assertEquals(9, config.operator().log().rate(), "the file overrides the defaults");
+    assertEquals(20_000, config.operator().coreTiming().answerMarginMicros());
+    assertEquals(OperatorConfig.DEFAULT.log().burst(), config.operator().log().burst());
     environment.put("LB_NAME", "variable");
     environment.put("AMBERHOIST_LOG_RATE", "8");
     environment.put("AMBERHOIST_LIMITS_DESCRIPTORS", "400");
-    setup = ProxyConfig.load(sources, new Clock());
-    assertEquals("variable", setup.platform().name());
-    assertEquals(8, setup.operator().log().rate());
-    assertEquals(400, setup.platform().maxDescriptors());
-    assertEquals("AMBERHOIST_LOG_RATE", setup.origins().get("log.rate"));
+    config = ProxyConfig.load(sources, new Clock());
+    assertEquals("variable", config.platform().name());
+    assertEquals(8, config.operator().log().rate());
+    assertEquals(400, config.platform().maxDescriptors());
+    assertEquals("AMBERHOIST_LOG_RATE", config.origins().get("log.rate"));
     flags.put("instance.name", "flag");
     flags.put("log.rate", "7");
-    setup = ProxyConfig.load(sources, new Clock());
-    assertEquals("flag", setup.platform().name());
-    assertEquals(7, setup.operator().log().rate());
-    assertEquals(platform.toString(), setup.origins().get("instance.listen"));
+    config = ProxyConfig.load(sources, new Clock());
+    assertEquals("flag", config.platform().name());
+    assertEquals(7, config.operator().log().rate());
+    assertEquals(platform.toString(), config.origins().get("instance.listen"));
   }
 
   @Test
@@ -130,11 +130,11 @@
   @Test
   void fileReplacesThePlatformsVariables() throws Exception {
     Path platform = file("p.json", "{\"settings\":{}}");
-    ProxyConfig setup = ProxyConfig.load(new ConfigSources(file("o.toml",
+    ProxyConfig config = ProxyConfig.load(new ConfigSources(file("o.toml",
         "[instance]\nname = \"x\"\nlisten = \"127.0.0.1:5\"\n"
-        + "directory = \"127.0.0.1:6\"\nplatform = \"" + platform + "\"\n"), Map.of(), Map.of()), new Clock());
-    assertEquals("x", setup.platform().name());
-    assertEquals(6, setup.platform().directoryAddress().getPort());
+            + "directory = \"127.0.0.1:6\"\nplatform = \"" + platform + "\"\n"), Map.of(), Map.of()), new Clock());
+    assertEquals("x", config.platform().name());
+    assertEquals(6, config.platform().directoryAddress().getPort());
   }
 
   @Test
@@ -154,10 +154,10 @@
     assertEquals(ReferencePages.eventsPage(), Files.readString(Path.of("../docs/logging.md")));
     Path example = Path.of("../deploy/amberhoist.toml");
     assertEquals(ReferencePages.exampleFile(), Files.readString(example));
-    OperatorConfigResult reading = ProxyConfig.readOperatorKeys(new ConfigSources(example, Map.of(), Map.of()), false);
-    assertEquals(List.of(), reading.problems());
-    assertEquals(OperatorConfig.DEFAULT, reading.operator(), "every key has its default value");
-    assertEquals(Set.copyOf(OperatorSchema.SCHEMA.keys().keySet()), Set.copyOf(reading.origins().keySet()),
+    OperatorConfigResult result = ProxyConfig.readOperatorKeys(new ConfigSources(example, Map.of(), Map.of()), false);
+    assertEquals(List.of(), result.problems());
+    assertEquals(OperatorConfig.DEFAULT, result.operator(), "every key has its default value");
+    assertEquals(Set.copyOf(OperatorSchema.SCHEMA.keys().keySet()), Set.copyOf(result.origins().keySet()),
         "the example contains every key");
   }
 }
--- a/proxy/src/test/java/amberhoist/core/EventOrderTest.java
+++ b/proxy/src/test/java/amberhoist/core/EventOrderTest.java
@@ -24,6 +24,7 @@
  * thousand days. Where the order matters, both orders are tested.
  */
 public class EventOrderTest {
+  /** One millisecond, in microseconds. */
   private static final long MILLIS = 1000;
   private static final long WINDOW_MICROS = 400 * MILLIS;
 
@@ -75,18 +76,19 @@
     public void log(String message) {}
   };
   private long now = 1_000_000_000;
-  private final TimerWheel wheel = new TimerWheel(4 * MILLIS, now);
+  private final TimerWheel timerWheel = new TimerWheel(4 * MILLIS, now);
   private final Counters counters = new Counters();
-  private final Core core = new Core(new Policy(), wheel, commands, counters,
+  private final Core core = new Core(new Policy(), timerWheel, commands, counters,
       new Limits(250 * MILLIS, 3000 * MILLIS, Set.of(), Set.of()), Timing.DEFAULT, Telemetry.NONE);
 
   private void start(Effect effect, int providerCount) {
-    RequestClass type = new RequestClass("c", effect, DedupScope.ALL, 300 * MILLIS, WINDOW_MICROS, 1, 100 * MILLIS);
+    RequestClass requestClass =
+        new RequestClass("c", effect, DedupScope.ALL, 300 * MILLIS, WINDOW_MICROS, 1, 100 * MILLIS);
     List<Server> known = new ArrayList<>();
     for (int i = 0; i < providerCount; i++) {
       known.add(server(i, ServerState.READY));
     }
-    core.start(now, new Settings("z", 0, 2, List.of(type), false, 10_000 * MILLIS, 4, 600 * MILLIS, 0, 0, 0.3,
+    core.start(now, new Settings("z", 0, 2, List.of(requestClass), false, 10_000 * MILLIS, 4, 600 * MILLIS, 0, 0, 0.3,
         9000 * MILLIS, 2.5, 3000 * MILLIS, ConnectionValue.DEFAULT, false), 7, known);
   }
 
@@ -101,10 +103,10 @@
   }
 
   /** Advances the clock in ticks of 4 ms. */
-  private void pass(long micros) {
+  private void advance(long micros) {
     for (long end = now + micros; now < end;) {
       now = Math.min(end, now + 4 * MILLIS);
-      wheel.advance(now);
+      timerWheel.advance(now);
     }
   }
 
@@ -135,7 +137,7 @@
       }
       fixture.core.onAttemptFailed(fixture.now, invocation, 1, Outcome.RESET);
       fixture.core.onOpenRequestWritten(fixture.now, invocation, 1);
-      fixture.pass(2000 * MILLIS);
+      fixture.advance(2000 * MILLIS);
       assertEquals("one attempt", 1, fixture.count("dial"));
       assertEquals("failed, not rejected as safe to retry", 1, fixture.count("fail 7"));
     }
@@ -158,14 +160,14 @@
       EventOrderTest fixture = new EventOrderTest();
       fixture.start(Effect.NON_IDEMPOTENT, 3);
       long invocation = fixture.request(7, 2000 * MILLIS);
-      fixture.pass(240 * MILLIS);
+      fixture.advance(240 * MILLIS);
       fixture.core.onConnected(fixture.now, invocation, 1);
       if (completionFirst) {
         fixture.core.onOpenRequestWritten(fixture.now, invocation, 1);
       }
-      fixture.pass(20 * MILLIS); // past the connect timeout
+      fixture.advance(20 * MILLIS); // past the connect timeout
       assertEquals("the connection is kept", 1, fixture.count("dial"));
-      fixture.pass(2000 * MILLIS);
+      fixture.advance(2000 * MILLIS);
       assertEquals(1, fixture.count("dial"));
       assertEquals(0, fixture.count("reject"));
       assertEquals(1, fixture.count("fail 7"));
@@ -214,13 +216,13 @@
       fixture.start(Effect.DEDUPLICATED, 3);
       long invocation = fixture.request(7, 2000 * MILLIS);
       fixture.core.onConnected(fixture.now, invocation, 1);
-      fixture.pass(WINDOW_MICROS - 200 * MILLIS);
+      fixture.advance(WINDOW_MICROS - 200 * MILLIS);
       fixture.core.onAttemptFailed(fixture.now, invocation, 1, Outcome.RESET);
       assertEquals("repeats are dropped by all providers", 2, fixture.count("dial"));
-      fixture.pass(inWindow ? 100 * MILLIS : 180 * MILLIS); // the line would arrive a few milliseconds later still
+      fixture.advance(inWindow ? 100 * MILLIS : 180 * MILLIS); // the line would arrive a few milliseconds later still
       fixture.core.onConnected(fixture.now, invocation, 2);
       assertEquals(inWindow ? 2 : 1, fixture.count("forward"));
-      fixture.pass(2000 * MILLIS);
+      fixture.advance(2000 * MILLIS);
       assertEquals("may have run, and repeats are no longer dropped", 1, fixture.count("fail 7"));
     }
   }
@@ -233,12 +235,12 @@
     core.onConnected(now, sent, 1);
     boolean[] stopped = new boolean[1];
     core.stop(now, false, () -> stopped[0] = true);
-    pass(400 * MILLIS); // new requests are still served
+    advance(400 * MILLIS); // new requests are still served
     long late = request(2, 9000 * MILLIS);
     core.onConnected(now, late, 2);
-    pass(2700 * MILLIS);
+    advance(2700 * MILLIS);
     assertEquals("both may have run", 0, count("reject"));
-    pass(200 * MILLIS);
+    advance(200 * MILLIS);
     assertEquals(List.of("fail 1", "fail 2"),
         commandLog.stream().filter(line -> line.startsWith("fail")).sorted().toList());
     assertTrue(stopped[0]);
@@ -249,15 +251,15 @@
   public void endOfStopStartsNoAttemptsAndRejectsInvocationsThatNeverRan() {
     start(Effect.NON_IDEMPOTENT, 9);
     core.stop(now, false, () -> { });
-    pass(430 * MILLIS);
+    advance(430 * MILLIS);
     request(3, 9000 * MILLIS);
     int rounds = 0;
     while (count("reject 3") == 0 && rounds++ < 20) { // no connection is ever established
-      pass(200 * MILLIS);
+      advance(200 * MILLIS);
     }
     assertEquals("retried while there was time, then rejected", 1, count("reject 3"));
     long attempts = count("dial");
-    pass(1000 * MILLIS);
+    advance(1000 * MILLIS);
     assertEquals(attempts, count("dial"));
     assertEquals(0, count("forward"));
     assertEquals(0, core.invocationCount());
@@ -270,11 +272,11 @@
       fixture.start(Effect.IDEMPOTENT, 1);
       long invocation = fixture.request(7, 400 * MILLIS);
       fixture.core.onConnected(fixture.now, invocation, 1);
-      fixture.pass(250 * MILLIS);
+      fixture.advance(250 * MILLIS);
       if (upFirst) {
         fixture.core.onUp(fixture.now, invocation, 1);
       }
-      fixture.pass(250 * MILLIS); // past the deadline
+      fixture.advance(250 * MILLIS); // past the deadline
       fixture.core.onUp(fixture.now, invocation, 1); // again, or too late
       assertEquals("relayed or rejected, not both", upFirst ? 1 : 0, fixture.count("join 7"));
       assertEquals(upFirst ? 0 : 1, fixture.count("reject 7"));
@@ -297,7 +299,7 @@
       fixture.core.onUp(fixture.now, invocation, 1);
       fixture.core.onAttemptFailed(fixture.now, invocation, 1, Outcome.RESET);
       fixture.core.onConnectionEnded(fixture.now, invocation, 1, Outcome.SERVED);
-      fixture.pass(3000 * MILLIS);
+      fixture.advance(3000 * MILLIS);
       assertEquals(upFirst ? 1 : 0, fixture.count("join"));
       assertEquals("no answer to a disconnected client", 0, fixture.count("reject") + fixture.count("fail"));
       assertEquals("no further attempt for it", 1, fixture.count("dial"));
--- a/proxy/src/test/java/amberhoist/core/LoadLineClassifierTest.java
+++ b/proxy/src/test/java/amberhoist/core/LoadLineClassifierTest.java
@@ -11,29 +11,29 @@
  * The decision module then never learned that the provider was overloaded, and a fleet day kept only 0.68.
  */
 public class LoadLineClassifierTest {
-  private final LoadLineClassifier readings = new LoadLineClassifier(new LoadLineClassifier.DelaySchedule());
+  private final LoadLineClassifier classifier = new LoadLineClassifier(new LoadLineClassifier.DelaySchedule());
 
   @Test
   public void linesOncePerSecondAreDelaysAndTheEarlierLoadIsRestored() {
-    assertFalse(readings.recordAndTestDelay(1_000_000, 33_000));
-    assertFalse("the first delay looks like a load", readings.recordAndTestDelay(6_270_000, 8462.479));
-    assertTrue(readings.recordAndTestDelay(7_271_000, 9462.479));
-    assertEquals(33_000, readings.load(), 0);
-    assertTrue("the last delay of the run, small again", readings.recordAndTestDelay(8_270_000, 12.3));
-    assertFalse("a load between two delays", readings.recordAndTestDelay(8_700_000, 41_000));
-    assertEquals(41_000, readings.load(), 0);
+    assertFalse(classifier.recordAndTestDelay(1_000_000, 33_000));
+    assertFalse("the first delay looks like a load", classifier.recordAndTestDelay(6_270_000, 8462.479));
+    assertTrue(classifier.recordAndTestDelay(7_271_000, 9462.479));
+    assertEquals(33_000, classifier.load(), 0);
+    assertTrue("the last delay of the run, small again", classifier.recordAndTestDelay(8_270_000, 12.3));
+    assertFalse("a load between two delays", classifier.recordAndTestDelay(8_700_000, 41_000));
+    assertEquals(41_000, classifier.load(), 0);
   }
 
   @Test
   public void loadsThatArriveOnScheduleByChanceStayLoads() {
-    assertFalse(readings.recordAndTestDelay(1_000_000, 33_000));
-    assertFalse(readings.recordAndTestDelay(2_000_000, 55_000));
-    assertFalse("the same load again", readings.recordAndTestDelay(3_000_000, 55_000));
-    assertFalse("off schedule", readings.recordAndTestDelay(4_100_000, 2300));
-    assertFalse("nearly on schedule, but no growth of a hang", readings.recordAndTestDelay(5_100_000, 4100));
+    assertFalse(classifier.recordAndTestDelay(1_000_000, 33_000));
+    assertFalse(classifier.recordAndTestDelay(2_000_000, 55_000));
+    assertFalse("the same load again", classifier.recordAndTestDelay(3_000_000, 55_000));
+    assertFalse("off schedule", classifier.recordAndTestDelay(4_100_000, 2300));
+    assertFalse("nearly on schedule, but no growth of a hang", classifier.recordAndTestDelay(5_100_000, 4100));
     assertFalse("a load; as a delay it moved clients on a second fleet day",
-        readings.recordAndTestDelay(6_100_000, 4354.62));
-    assertEquals(4354.62, readings.load(), 0);
+        classifier.recordAndTestDelay(6_100_000, 4354.62));
+    assertEquals(4354.62, classifier.load(), 0);
   }
 
   /**
@@ -63,10 +63,10 @@
    */
   @Test
   public void loadBetweenTwoDelaysDoesNotHideTheSecond() {
-    assertFalse(readings.recordAndTestDelay(1_570_000, 1310));
-    assertFalse(readings.recordAndTestDelay(1_790_000, 4813));
-    assertTrue(readings.recordAndTestDelay(2_570_000, 1267));
-    assertEquals("the load reported in between", 4813, readings.load(), 0);
+    assertFalse(classifier.recordAndTestDelay(1_570_000, 1310));
+    assertFalse(classifier.recordAndTestDelay(1_790_000, 4813));
+    assertTrue(classifier.recordAndTestDelay(2_570_000, 1267));
+    assertEquals("the load reported in between", 4813, classifier.load(), 0);
   }
 
   /**
@@ -75,11 +75,11 @@
    */
   @Test
   public void firstLineFarBelowTheLastLoadIsADelay() {
-    assertFalse(readings.recordAndTestDelay(1_000_000, 33_000));
-    assertFalse("a load may fall", readings.recordAndTestDelay(3_400_000, 2_000));
-    assertFalse(readings.recordAndTestDelay(4_900_000, 33_000));
-    assertTrue("but hardly by a factor of 100", readings.recordAndTestDelay(6_270_000, 312));
-    assertEquals(33_000, readings.load(), 0);
+    assertFalse(classifier.recordAndTestDelay(1_000_000, 33_000));
+    assertFalse("a load may fall", classifier.recordAndTestDelay(3_400_000, 2_000));
+    assertFalse(classifier.recordAndTestDelay(4_900_000, 33_000));
+    assertTrue("but hardly by a factor of 100", classifier.recordAndTestDelay(6_270_000, 312));
+    assertEquals(33_000, classifier.load(), 0);
     assertFalse("no earlier load to compare with",
         new LoadLineClassifier(new LoadLineClassifier.DelaySchedule()).recordAndTestDelay(6_270_000, 312));
   }
--- a/proxy/src/test/java/amberhoist/decide/BalancerHarness.java
+++ b/proxy/src/test/java/amberhoist/decide/BalancerHarness.java
@@ -27,7 +27,8 @@
   /**
    * One recorded action.
    *
-   * @param kind the name of the method that was called
+   * @param kind "send" for a started attempt, "refuse" for a rejection, "ask" for a request for a load report, else the
+   *     name of the method that was called
    * @param requestId the id of the request, 0 if the action concerns none
    * @param server the server, or the text of a log message; null if the action has neither
    * @param micros the timeout of a send, the retry-after of a rejection, or the time of a subscription or of a request
@@ -121,12 +122,12 @@
     return server;
   }
 
-  /** Reports that an attempt failed after 10 ms; an answer is still owed. */
+  /** Reports that an attempt failed after 10 ms; the request is not yet answered. */
   void failAttempt(long id, int attempt, Outcome outcome) {
     balancer.onAttemptEnded(now, id, attempt, outcome, 10 * MILLIS, false);
   }
 
-  /** The server of the request's first send from action {@code before} on, or null if there is none. */
+  /** The server of the request's first send from action {@code firstAction} on, or null if there is none. */
   String serverSentSince(int firstAction, long requestId) {
     return actions.subList(firstAction, actions.size()).stream()
         .filter(action -> action.kind().equals("send") && action.requestId() == requestId)
--- a/proxy/src/test/java/amberhoist/decide/BalancerInvariantsTest.java
+++ b/proxy/src/test/java/amberhoist/decide/BalancerInvariantsTest.java
@@ -64,8 +64,8 @@
       classes.add(new Balancer.RequestClass(effect.name(), effect, DedupScope.CELL, 300 * MILLIS, SECOND, 1,
           100 * MILLIS));
     }
-    Balancer.RequestClass[] types = classes.toArray(new Balancer.RequestClass[0]);
-    harness.start(BalancerHarness.settings(false, Balancer.ConnectionValue.DEFAULT, types));
+    Balancer.RequestClass[] classArray = classes.toArray(new Balancer.RequestClass[0]);
+    harness.start(BalancerHarness.settings(false, Balancer.ConnectionValue.DEFAULT, classArray));
     for (int i = 0; i < 8; i++) {
       update(new Server("s" + i, "z", "k", i % 3, ServerState.READY, 1, 0));
     }
@@ -151,8 +151,8 @@
       if (tracked.inFlight && !tracked.open && harness.now >= tracked.timeoutAt) {
         end(tracked, Outcome.TIMED_OUT);
       }
-      boolean overdue = !tracked.answered && !tracked.open && harness.now > tracked.request.deadline() + 60 * MILLIS;
-      assertFalse(overdue, "request " + tracked.request.id() + " not answered by its deadline");
+      boolean isExpired = !tracked.answered && !tracked.open && harness.now > tracked.request.deadline() + 60 * MILLIS;
+      assertFalse(isExpired, "request " + tracked.request.id() + " not answered by its deadline");
     }
   }
 
@@ -195,7 +195,7 @@
       List<Long> times = coldSends.computeIfAbsent(action.server(), name -> new ArrayList<>());
       times.add(harness.now);
       long window = times.stream().filter(at -> harness.now - at < 3 * SECOND).count();
-      // Approximates multiple x capacity x window: fewer than plain rotation would send here in that time.
+      // Approximates cold multiple x capacity x window: fewer than plain rotation would send here in that time.
       assertTrue(window <= 16, "rule 4: " + window + " setups on a cold server within its window");
     }
     tracked.attempts++;
@@ -203,11 +203,11 @@
     tracked.timeoutAt = Math.min(harness.now + action.micros(), tracked.request.deadline());
   }
 
-  private void checkAnswer(TrackedRequest tracked, String what) {
+  private void checkAnswer(TrackedRequest tracked, String kind) {
     assertFalse(tracked.answered, "rule 1: a second answer");
     assertFalse(tracked.inFlight, "answered with an attempt in flight");
     boolean mayReject = tracked.effect == Effect.IDEMPOTENT || !tracked.mayHaveRun;
-    assertTrue(what.equals("fail") || mayReject, "rule 2: rejected a request that may have run");
+    assertTrue(kind.equals("fail") || mayReject, "rule 2: rejected a request that may have run");
     tracked.answered = true;
   }
 
--- a/proxy/src/test/java/amberhoist/decide/FleetHarness.java
+++ b/proxy/src/test/java/amberhoist/decide/FleetHarness.java
@@ -56,8 +56,7 @@
    * @param clientRetryMicros time after which a rejected client tries again
    * @param connectionsPerServer connections at which a warm server reaches a utilization of 1
    */
-  FleetHarness(int count, Settings settings, long storeCallMicros, long clientRetryMicros,
-      int connectionsPerServer) {
+  FleetHarness(int count, Settings settings, long storeCallMicros, long clientRetryMicros, int connectionsPerServer) {
     this.storeCallMicros = storeCallMicros;
     this.clientRetryMicros = clientRetryMicros;
     this.connectionsPerServer = connectionsPerServer;
--- a/proxy/src/test/java/amberhoist/decide/LargeFleetTest.java
+++ b/proxy/src/test/java/amberhoist/decide/LargeFleetTest.java
@@ -23,9 +23,9 @@
   private static final long WARM_UP_MICROS = 28 * SECOND;
 
   private static Settings settings(boolean reports, int balancers) {
-    RequestClass type = new RequestClass("c", Effect.IDEMPOTENT, DedupScope.ALL, 300 * MILLIS, 5 * SECOND, 1,
+    RequestClass requestClass = new RequestClass("c", Effect.IDEMPOTENT, DedupScope.ALL, 300 * MILLIS, 5 * SECOND, 1,
         100 * MILLIS);
-    return new Settings("z", 0, balancers, List.of(type), false, 10 * SECOND, 4, 600 * MILLIS, 0, 0, 0.1,
+    return new Settings("z", 0, balancers, List.of(requestClass), false, 10 * SECOND, 4, 600 * MILLIS, 0, 0, 0.1,
         WARM_UP_MICROS, COLD_MULTIPLE, COLD_WINDOW_MICROS, ConnectionValue.DEFAULT, reports);
   }
 
--- a/proxy/src/test/java/amberhoist/decide/PolicyTest.java
+++ b/proxy/src/test/java/amberhoist/decide/PolicyTest.java
@@ -216,7 +216,7 @@
       harness.advance(40 * MILLIS);
       moved += harness.count("move");
     }
-    // queued in 1 s, to be worked off in 1 s
+    // work that queued up within 1 s is to be worked off within 1 s
     double expected = 200 * (1 - (1 - 400 * MILLIS / Policy.DELAY_REPORT_INTERVAL_MICROS) / 1.4);
     assertTrue(moved > expected / 2 && moved < expected * 2, "moved " + moved);
   }
@@ -408,7 +408,7 @@
   void keyedRequestIsRejectedOnlyIfTheClientsRetryFallsWithinTheWindow() {
     for (boolean inWindow : new boolean[] {true, false}) {
       BalancerHarness harness = new BalancerHarness();
-      // repeats are dropped for 5 s
+      // servers drop repeats of this class for 5 s
       harness.start(BalancerHarness.settings(false, BalancerHarness.requestClass(Effect.DEDUPLICATED, DedupScope.ALL)));
       harness.replaceWithReady("a", "b", "c", "d", "e", "f");
       harness.balancer.onRequest(harness.now, BalancerHarness.request(1, "x", null, harness.now + 20 * SECOND));
--- a/proxy/src/test/java/amberhoist/decide/SuspensionTest.java
+++ b/proxy/src/test/java/amberhoist/decide/SuspensionTest.java
@@ -47,7 +47,7 @@
     harness.balancer.onServerList(harness.now, ListUpdateKind.STALE, List.of(ready("a"), ready("b")));
     harness.balancer.configure(harness.now,
         BalancerHarness.settings(false,
-        BalancerHarness.requestClass(Balancer.Effect.IDEMPOTENT, Balancer.DedupScope.ALL)));
+            BalancerHarness.requestClass(Balancer.Effect.IDEMPOTENT, Balancer.DedupScope.ALL)));
     assertNotUsed(harness, "a", 600);
     assertTrue(harness.balancer.isExcluded(harness.now, "a"));
     assertFalse(harness.balancer.isExcluded(harness.now, "b"));
--- a/proxy/src/test/java/amberhoist/decide/ValueTest.java
+++ b/proxy/src/test/java/amberhoist/decide/ValueTest.java
@@ -46,17 +46,17 @@
     return harness;
   }
 
-  private static boolean submit(BalancerHarness harness, long id, String type, String tenant, double load) {
+  private static boolean submit(BalancerHarness harness, long id, String className, String tenant, double load) {
     int before = harness.actions.size();
     harness.balancer.onRequest(harness.now,
-        new Request(id, type, tenant, "client" + id, harness.now + 1200 * MILLIS, load, "g", false, false));
+        new Request(id, className, tenant, "client" + id, harness.now + 1200 * MILLIS, load, "g", false, false));
     return harness.serverSentSince(before, id) != null;
   }
 
   /** Number of requests that are accepted one after the other until one finds no capacity; at most 60. */
-  private static int accepted(BalancerHarness harness, long firstId, String type, String tenant, double load) {
+  private static int accepted(BalancerHarness harness, long firstId, String className, String tenant, double load) {
     int count = 0;
-    while (count < 60 && submit(harness, firstId + count, type, tenant, load)) {
+    while (count < 60 && submit(harness, firstId + count, className, tenant, load)) {
       harness.balancer.onEstablished(harness.now, firstId + count++, 0, 5 * MILLIS);
       harness.advance(100 * MILLIS); // a balancer of a large fleet spaces its setups
     }
--- a/proxy/src/test/java/amberhoist/distribution/DistributorTest.java
+++ b/proxy/src/test/java/amberhoist/distribution/DistributorTest.java
@@ -35,7 +35,7 @@
     return new Distributor(SETTINGS, now, (to, reply) -> replies.add(reply));
   }
 
-  /** Makes the distributor one with a lease, and past the leases from before its start. */
+  /** Lets leases granted before the start of the distributor end, and gives it a lease of its own. */
   private void startServing(PolicyState state) {
     distributor.onPolicyState(now, state);
     now += 10 * SECOND_MICROS;
@@ -91,7 +91,7 @@
     now = until + 1;
     int before = replies(Granted.class).size();
     renew("b", 1, 1, 0);
-    assertEquals(before, replies(Granted.class).size(), "no lease on the version before");
+    assertEquals(before, replies(Granted.class).size(), "no lease on the previous version");
     distributor.onPolicyState(now, CONCLUDED);
     renew("b", 1, 2, 0);
     assertEquals(before + 1, replies(Granted.class).size());
@@ -130,9 +130,9 @@
     distributor.extendLease(now + 2 * SECOND_MICROS);
     renew("a", 1, 1, 0);
     assertEquals(0, replies(Granted.class).size());
-    long longest = (long) (SETTINGS.leaseMicros() * (1 + DistributionSettings.MAX_CLOCK_DRIFT));
-    assertFalse(distributor.checkPrepared(now + longest));
-    assertTrue(distributor.checkPrepared(now + longest + 1));
+    long maxLeaseMicros = (long) (SETTINGS.leaseMicros() * (1 + DistributionSettings.MAX_CLOCK_DRIFT));
+    assertFalse(distributor.checkPrepared(now + maxLeaseMicros));
+    assertTrue(distributor.checkPrepared(now + maxLeaseMicros + 1));
   }
 
   @Test
--- a/proxy/src/test/java/amberhoist/distribution/SubscriberTest.java
+++ b/proxy/src/test/java/amberhoist/distribution/SubscriberTest.java
@@ -97,7 +97,7 @@
     receive(new Status(1, 2, true)); // still pending
     assertEquals(-1, subscriber.usableVersion(now));
     receive(new Status(2, 2, false));
-    assertEquals(-1, subscriber.usableVersion(now), "the lease is on the version before");
+    assertEquals(-1, subscriber.usableVersion(now), "the lease is on the previous version");
     grant(2);
     assertEquals(2, subscriber.usableVersion(now));
     assertArrayEquals(SECOND.bytes(), subscriber.inForce().bytes());
--- a/proxy/src/test/java/amberhoist/mgmt/RequestParserTest.java
+++ b/proxy/src/test/java/amberhoist/mgmt/RequestParserTest.java
@@ -51,10 +51,9 @@
   @Test
   void answers400ToAnInvalidOrTruncatedRequest() {
     for (String text : List.of("GET\r\n\r\n", "GET / HTTP/2\r\n\r\n", "G@T / HTTP/1.1\r\n\r\n",
-        "GET x HTTP/1.1\r\n\r\n",
-        "GET /a%2 HTTP/1.1\r\n\r\n", "GET /a%zz HTTP/1.1\r\n\r\n", "GET /%ff HTTP/1.1\r\n\r\n",
-        "GET /\u00e9 HTTP/1.1\r\n\r\n", "GET / HTTP/1.1\r\nno colon\r\n\r\n", "GET / HTTP/1.1\r\n: x\r\n\r\n",
-        "GET  / HTTP/1.1\r\n\r\n", "OPEN a b c=d\r\n\r\n")) {
+        "GET x HTTP/1.1\r\n\r\n", "GET /a%2 HTTP/1.1\r\n\r\n", "GET /a%zz HTTP/1.1\r\n\r\n",
+        "GET /%ff HTTP/1.1\r\n\r\n", "GET /\u00e9 HTTP/1.1\r\n\r\n", "GET / HTTP/1.1\r\nno colon\r\n\r\n",
+        "GET / HTTP/1.1\r\n: x\r\n\r\n", "GET  / HTTP/1.1\r\n\r\n", "OPEN a b c=d\r\n\r\n")) {
       RequestParser parser = parse(text, text.length());
       assertNull(parser.request(), text);
       assertEquals(400, parser.errorResponse().status(), text);
--- a/proxy/src/test/java/amberhoist/rollout/PolicyVersionsTest.java
+++ b/proxy/src/test/java/amberhoist/rollout/PolicyVersionsTest.java
@@ -10,24 +10,24 @@
 class PolicyVersionsTest {
   private final PolicyVersions versions = new PolicyVersions();
 
-  private static ChangeResult take(PolicyVersions sequence, PolicyChange change) {
-    return sequence.apply(change, true);
+  private static ChangeResult apply(PolicyVersions target, PolicyChange change) {
+    return target.apply(change, true);
   }
 
   @Test
   void firstOfTwoChangesOfOneBaseIsAccepted() {
-    assertEquals(new ChangeResult(true, 1), take(versions, new PolicyChange("a", 0, "one")));
-    assertEquals(new ChangeResult(false, 1), take(versions, new PolicyChange("b", 0, "other")));
+    assertEquals(new ChangeResult(true, 1), apply(versions, new PolicyChange("a", 0, "one")));
+    assertEquals(new ChangeResult(false, 1), apply(versions, new PolicyChange("b", 0, "other")));
     assertEquals("one", versions.document());
-    assertEquals(new ChangeResult(true, 2), take(versions, new PolicyChange("c", 1, "two")));
+    assertEquals(new ChangeResult(true, 2), apply(versions, new PolicyChange("c", 1, "two")));
   }
 
   @Test
   void changeSentAgainGetsTheSameResult() {
     PolicyChange change = new PolicyChange("a", 0, "one");
-    ChangeResult first = take(versions, change);
-    take(versions, new PolicyChange("b", 1, "two"));
-    assertEquals(first, take(versions, change));
+    ChangeResult first = apply(versions, change);
+    apply(versions, new PolicyChange("b", 1, "two"));
+    assertEquals(first, apply(versions, change));
     assertEquals(2, versions.version());
     assertEquals("two", versions.document());
   }
@@ -35,23 +35,23 @@
   @Test
   void changeWithEvictedResultIsNotAcceptedAgain() {
     for (int i = 0; i < 3000; i++) {
-      assertEquals(new ChangeResult(true, i + 1), take(versions, new PolicyChange("c" + i, i, "" + i)));
+      assertEquals(new ChangeResult(true, i + 1), apply(versions, new PolicyChange("c" + i, i, "" + i)));
     }
-    assertEquals(new ChangeResult(false, 3000), take(versions, new PolicyChange("c0", 0, "0")));
+    assertEquals(new ChangeResult(false, 3000), apply(versions, new PolicyChange("c0", 0, "0")));
   }
 
   @Test
   void snapshotIncludesResults() {
-    take(versions, new PolicyChange("a", 0, "\u00e9in"));
-    take(versions, new PolicyChange("b", 0, "other"));
+    apply(versions, new PolicyChange("a", 0, "\u00e9in"));
+    apply(versions, new PolicyChange("b", 0, "other"));
     PolicyVersions other = new PolicyVersions();
-    take(other, new PolicyChange("z", 0, "to be replaced"));
+    apply(other, new PolicyChange("z", 0, "to be replaced"));
     other.installSnapshot(versions.snapshot());
     assertEquals(1, other.version());
     assertEquals("\u00e9in", other.document());
-    assertEquals(new ChangeResult(true, 1), take(other, new PolicyChange("a", 0, "\u00e9in")));
-    assertEquals(new ChangeResult(false, 1), take(other, new PolicyChange("b", 0, "other")));
-    assertEquals(new ChangeResult(true, 2), take(other, new PolicyChange("z", 1, "new here")));
+    assertEquals(new ChangeResult(true, 1), apply(other, new PolicyChange("a", 0, "\u00e9in")));
+    assertEquals(new ChangeResult(false, 1), apply(other, new PolicyChange("b", 0, "other")));
+    assertEquals(new ChangeResult(true, 2), apply(other, new PolicyChange("z", 1, "new here")));
   }
 
   @Test
--- a/proxy/src/test/java/amberhoist/rollout/RolloutTest.java
+++ b/proxy/src/test/java/amberhoist/rollout/RolloutTest.java
@@ -78,59 +78,61 @@
 
   @Test
   void versionIsUsableOnlyWithLeaseAndNoPendingChange() {
-    MemberLease holder = new MemberLease();
-    assertEquals(-1, holder.usableVersion(0, 9, rollout), "no lease granted");
-    holder.onGranted(10 * SECOND_MICROS, 5);
-    assertEquals(-1, holder.usableVersion(10 * SECOND_MICROS, 4, rollout),
+    MemberLease lease = new MemberLease();
+    assertEquals(-1, lease.usableVersion(0, 9, rollout), "no lease granted");
+    lease.onGranted(10 * SECOND_MICROS, 5);
+    assertEquals(-1, lease.usableVersion(10 * SECOND_MICROS, 4, rollout),
         "the log is not applied up to the lease's index");
-    assertEquals(0, holder.usableVersion(10 * SECOND_MICROS, 5, rollout));
+    assertEquals(0, lease.usableVersion(10 * SECOND_MICROS, 5, rollout));
     long end = 10 * SECOND_MICROS + (long) (Leases.DURATION_MICROS * (1 - Leases.MAX_CLOCK_DRIFT));
-    assertEquals(0, holder.usableVersion(end - 1, 5, rollout));
-    assertEquals(-1, holder.usableVersion(end, 5, rollout));
-    holder.onGranted(9 * SECOND_MICROS, 5);
-    assertEquals(-1, holder.usableVersion(end, 5, rollout), "an older grant that arrives late changes nothing");
+    assertEquals(0, lease.usableVersion(end - 1, 5, rollout));
+    assertEquals(-1, lease.usableVersion(end, 5, rollout));
+    lease.onGranted(9 * SECOND_MICROS, 5);
+    assertEquals(-1, lease.usableVersion(end, 5, rollout), "an older grant that arrives late changes nothing");
     propose("x", 0);
-    assertEquals(-1, holder.usableVersion(10 * SECOND_MICROS, 5, rollout), "a change is pending");
+    assertEquals(-1, lease.usableVersion(10 * SECOND_MICROS, 5, rollout), "a change is pending");
   }
 
   @Test
   void changeWaitsForUnpreparedMembersWithLeases() {
-    LeaderLeases granter = new LeaderLeases(0);
-    // of leases that the leader before may have granted
-    long before = (long) (Leases.DURATION_MICROS * (1 + Leases.MAX_CLOCK_DRIFT));
+    LeaderLeases leases = new LeaderLeases(0);
+    // the longest time that a lease may last
+    long maxLeaseMicros = (long) (Leases.DURATION_MICROS * (1 + Leases.MAX_CLOCK_DRIFT));
     propose("x", 0);
-    assertNull(granter.conclusionCommand(before, MEMBERS, rollout), "leases of the leader before may still be valid");
-    assertTrue(granter.tryGrant("c", before, rollout));
-    assertNull(granter.conclusionCommand(2 * before, MEMBERS, rollout), "the lease of c may still be valid");
-    assertArrayEquals(Rollout.concludeCommand(1, true), granter.conclusionCommand(2 * before + 1, MEMBERS, rollout));
-    assertFalse(granter.tryGrant("c", 2 * before + 1, rollout), "c would use the version before");
+    assertNull(leases.conclusionCommand(maxLeaseMicros, MEMBERS, rollout),
+        "leases of the former leader may still be valid");
+    assertTrue(leases.tryGrant("c", maxLeaseMicros, rollout));
+    assertNull(leases.conclusionCommand(2 * maxLeaseMicros, MEMBERS, rollout), "the lease of c may still be valid");
+    assertArrayEquals(Rollout.concludeCommand(1, true),
+        leases.conclusionCommand(2 * maxLeaseMicros + 1, MEMBERS, rollout));
+    assertFalse(leases.tryGrant("c", 2 * maxLeaseMicros + 1, rollout), "c would use the previous version");
     rollout.apply(Rollout.prepared("c", 1));
-    assertTrue(granter.tryGrant("c", 2 * before + 1, rollout));
+    assertTrue(leases.tryGrant("c", 2 * maxLeaseMicros + 1, rollout));
   }
 
   @Test
   void changeConcludesAtOnceWhenAllHavePrepared() {
-    LeaderLeases granter = new LeaderLeases(0);
-    MEMBERS.forEach(each -> granter.tryGrant(each, SECOND_MICROS, rollout));
+    LeaderLeases leases = new LeaderLeases(0);
+    MEMBERS.forEach(each -> leases.tryGrant(each, SECOND_MICROS, rollout));
     propose("x", 0);
     rollout.apply(Rollout.prepared("a", 1));
     rollout.apply(Rollout.prepared("b", 1));
-    assertNull(granter.conclusionCommand(SECOND_MICROS, MEMBERS, rollout));
+    assertNull(leases.conclusionCommand(SECOND_MICROS, MEMBERS, rollout));
     rollout.apply(Rollout.prepared("c", 1));
-    assertArrayEquals(Rollout.concludeCommand(1, true), granter.conclusionCommand(SECOND_MICROS, MEMBERS, rollout));
+    assertArrayEquals(Rollout.concludeCommand(1, true), leases.conclusionCommand(SECOND_MICROS, MEMBERS, rollout));
   }
 
   @Test
   void changeIsWithdrawnAfterTimeout() {
-    LeaderLeases granter = new LeaderLeases(0);
+    LeaderLeases leases = new LeaderLeases(0);
     propose("x", 0);
-    assertNull(granter.conclusionCommand(0, MEMBERS, rollout));
+    assertNull(leases.conclusionCommand(0, MEMBERS, rollout));
     for (long now = 0; now <= Leases.CHANGE_TIMEOUT_MICROS; now += SECOND_MICROS) {
-      granter.tryGrant("b", now, rollout); // renews its lease but never prepares the change
-      assertNull(granter.conclusionCommand(now, MEMBERS, rollout), "at " + now);
+      leases.tryGrant("b", now, rollout); // it renews its lease but never prepares the change
+      assertNull(leases.conclusionCommand(now, MEMBERS, rollout), "at " + now);
     }
-    granter.tryGrant("b", Leases.CHANGE_TIMEOUT_MICROS + 1, rollout);
+    leases.tryGrant("b", Leases.CHANGE_TIMEOUT_MICROS + 1, rollout);
     assertArrayEquals(Rollout.concludeCommand(1, false),
-        granter.conclusionCommand(Leases.CHANGE_TIMEOUT_MICROS + 1, MEMBERS, rollout));
+        leases.conclusionCommand(Leases.CHANGE_TIMEOUT_MICROS + 1, MEMBERS, rollout));
   }
 }
--- a/proxy/src/test/java/amberhoist/service/DirectoryScenarioTest.java
+++ b/proxy/src/test/java/amberhoist/service/DirectoryScenarioTest.java
@@ -147,8 +147,7 @@
       provider.send("UP 3\r\n");
       assertEquals("still served", "UP 3", late.readLine());
       assertEquals("MOVE", established[0].readLine());
-      assertTrue("not within 1.5 s: another proxy may still be starting",
-          System.nanoTime() - start > 1_500_000_000L);
+      assertTrue("not within 1.5 s: another proxy may still be starting", System.nanoTime() - start > 1_500_000_000L);
       assertEquals("FIN", established[0].readLine());
       assertEquals("FIN", established[1].readLine());
       assertEquals("MOVE", late.readLine());
--- a/proxy/src/test/java/amberhoist/service/ProxyScenarioTest.java
+++ b/proxy/src/test/java/amberhoist/service/ProxyScenarioTest.java
@@ -56,9 +56,9 @@
       List<String> invalid = List.of("\r\n", "HELLO\r\n", "OPEN\r\n", "OPEN a\r\n", "OPEN a b\r\n",
           "OPEN a b c\r\n", "OPEN  b c=chat,d=5\r\n", "OPEN a b c=chat,d=x\r\n", "OPEN a b c=chat,d=-5\r\n",
           "OPEN a b d=5\r\n", "OPEN a b c=chat,d=5,d=6\r\n", "OPEN a b c=chat,,d=5\r\n", valid + "\n",
-          valid + " more\r\n",
-          valid + "\r\nMORE\r\n", "OPEN a b c=none,t=acme,d=9\r\n", "OPEN a b c=chat,t=none,d=9\r\n",
-          "OPEN a b c=chat,d=900\r\n", valid + ",x=\u00e9\r\n", valid + ",h=-1\r\n", valid + ",h=1e300\r\n",
+          valid + " more\r\n", valid + "\r\nMORE\r\n", "OPEN a b c=none,t=acme,d=9\r\n",
+          "OPEN a b c=chat,t=none,d=9\r\n", "OPEN a b c=chat,d=900\r\n",
+          valid + ",x=\u00e9\r\n", valid + ",h=-1\r\n", valid + ",h=1e300\r\n",
           "OPEN a b c=chat,t=acme,d=99999999999999999999\r\n", "OPEN a b c=chat,t=acme,d=900000000\r\n",
           valid + ",at=\r\n", openRequest("k", 3000, ",at=nobody"), "OPEN a b c=chat,d=5,x=\u0001\r\n",
           valid + ",x=" + "y".repeat(4096) + "\r\n", "z".repeat(5000));
--- a/proxy/src/test/java/amberhoist/simulator/SimulatorAdapterTest.java
+++ b/proxy/src/test/java/amberhoist/simulator/SimulatorAdapterTest.java
@@ -82,8 +82,7 @@
         batch(3, 0, "{\"m\":\"Health\",\"server\":\"oak\",\"state-code\":4}"));
     assertFalse(withoutReport.contains("Fault"), withoutReport);
     String withNullReport = runBatches(batch(1, 0, startOfMany), batch(2, 0, groupRequest),
-        batch(3, 0, "{\"m\":\"Health\",\"server\":\"oak\",\"state-code\":4,\"health-info\":null}"),
-        batch(4, 0, ""));
+        batch(3, 0, "{\"m\":\"Health\",\"server\":\"oak\",\"state-code\":4,\"health-info\":null}"), batch(4, 0, ""));
     assertEquals(4, withNullReport.lines().count(), withNullReport);
     assertEquals(0, exitStatus);
   }
