--- a/proxy/src/main/java/amberhoist/core/Answers.java
+++ b/proxy/src/main/java/amberhoist/core/Answers.java
@@ -27,11 +27,11 @@
     this.balancer = balancer;
   }
 
-  /** Rejects a pending invocation, as the balancer or the core decided; 0 microseconds give no retry-after. */
-  void reject(long invocationId, long retryAfter) {
+  /** Rejects a pending invocation, as the balancer or the core decided; a time of 0 gives no retry-after. */
+  void reject(long invocationId, long retryAfterMicros) {
     Invocation invocation = takePending(invocationId);
     if (invocation != null) {
-      sendRejection(invocationId, invocation, retryAfter);
+      sendRejection(invocationId, invocation, retryAfterMicros);
     }
   }
 
@@ -56,10 +56,10 @@
     return invocation;
   }
 
-  private void sendRejection(long invocationId, Invocation invocation, long retryAfter) {
+  private void sendRejection(long invocationId, Invocation invocation, long retryAfterMicros) {
     counters.increment(Count.ANSWERED_REJECTION);
     telemetry.onAnswered(invocationId, Answer.REJECTION, events.now() - invocation.arrivedAt);
-    commands.reject(invocation.clientId, retryAfter);
+    commands.reject(invocation.clientId, retryAfterMicros);
     countOutcome(invocation, SetupOutcomes.Outcome.REFUSED);
   }
 
@@ -68,8 +68,8 @@
   }
 
   /** Rejects an invocation without a decision of the balancer: its deadline expired, or the proxy stops. */
-  void rejectUndecided(long invocationId, Invocation invocation, long retryAfter) {
-    sendRejection(invocationId, invocation, retryAfter);
+  void rejectUndecided(long invocationId, Invocation invocation, long retryAfterMicros) {
+    sendRejection(invocationId, invocation, retryAfterMicros);
     end(invocationId, invocation);
   }
 
--- a/proxy/src/main/java/amberhoist/core/Commands.java
+++ b/proxy/src/main/java/amberhoist/core/Commands.java
@@ -17,8 +17,8 @@
   /** Relays lines in both directions between a client and a provider that has answered UP. */
   void relay(long clientId, long connectionId);
 
-  /** Sends a client a rejection and closes; {@code retryAfter} in microseconds, 0 for none. */
-  void reject(long clientId, long retryAfter);
+  /** Sends a client a rejection and closes; a {@code retryAfterMicros} of 0 gives no retry-after. */
+  void reject(long clientId, long retryAfterMicros);
 
   /** Answers a client that its invocation has failed and closes. */
   void fail(long clientId);
--- a/proxy/src/main/java/amberhoist/core/Core.java
+++ b/proxy/src/main/java/amberhoist/core/Core.java
@@ -98,9 +98,9 @@
     long invocationId = invocations.add(invocation);
     counters.setupOutcomes().countRequested(invocation.type);
     runEvent(time, () -> {
-      long wait = Math.max(0, request.waitMillis() * 1000 - timing.answerMarginMicros());
-      long deadline = events.now() + (invocation.handoverProvider == null ? wait
-          : Math.min(wait, HandoverRetries.MAX_WAIT_MICROS));
+      long waitMicros = Math.max(0, request.waitMillis() * 1000 - timing.answerMarginMicros());
+      long deadline = events.now() + (invocation.handoverProvider == null ? waitMicros
+          : Math.min(waitMicros, HandoverRetries.MAX_WAIT_MICROS));
       invocation.request = new Request(invocationId, request.type(), request.tenant(), request.key(), deadline,
           request.loadHint(), request.group(), request.isRetry(), request.isReturning());
       invocation.deadlineTimer = wheel.arm(deadline, at -> runEvent(at, () -> deadlineExpiry.onDeadline(invocationId)));
@@ -271,33 +271,33 @@
   }
 
   @Override
-  public void startAttempt(long request, String server, long timeout) {
-    Invocation invocation = invocations.get(request);
+  public void startAttempt(long requestId, String serverName, long timeoutMicros) {
+    Invocation invocation = invocations.get(requestId);
     counters.checkInvariant(invocation != null, "attempt for an unknown invocation");
     if (invocation != null) {
-      startAttempt(request, invocation, server, events.now() + timeout);
+      startAttempt(requestId, invocation, serverName, events.now() + timeoutMicros);
     }
   }
 
   @Override
-  public void reject(long request, long retryAfter) {
-    answers.reject(request, retryAfter);
+  public void reject(long requestId, long retryAfterMicros) {
+    answers.reject(requestId, retryAfterMicros);
   }
 
   @Override
-  public void fail(long request) {
-    answers.fail(request);
+  public void fail(long requestId) {
+    answers.fail(requestId);
   }
 
   @Override
-  public void move(long request) {
-    Invocation invocation = invocations.get(request);
+  public void move(long requestId) {
+    Invocation invocation = invocations.get(requestId);
     if (invocation != null && invocation.phase == Phase.ESTABLISHED) {
       counters.increment(Count.MOVED);
       commands.move(invocation.clientId);
       events.runLater(() -> {
-        if (invocations.get(request) == invocation) {
-          end(request, invocation, Outcome.CANCELLED);
+        if (invocations.get(requestId) == invocation) {
+          end(requestId, invocation, Outcome.CANCELLED);
         }
       });
     }
@@ -309,9 +309,9 @@
   }
 
   @Override
-  public void requestLoadReport(String server) {
+  public void requestLoadReport(String serverName) {
     counters.increment(Count.REPORTS_ASKED);
-    commands.requestLoadReport(server);
+    commands.requestLoadReport(serverName);
   }
 
   /** A provider has sent its load report: its utilization, demand over capacity, at least 0. */
@@ -333,11 +333,11 @@
   }
 
   /**
-   * Begins a graceful stop ({@link GracefulStop}); {@code succeeded} if another process already serves in place of
+   * Begins a graceful stop ({@link GracefulStop}); {@code hasSuccessor} if another process already serves in place of
    * this one. Runs {@code done} when no invocation is pending, in flight or established any more.
    */
-  public void stop(long time, boolean succeeded, Runnable done) {
-    runEvent(time, () -> gracefulStop.begin(time, limits.maxClientWaitMicros(), timing, succeeded, done));
+  public void stop(long time, boolean hasSuccessor, Runnable done) {
+    runEvent(time, () -> gracefulStop.begin(time, limits.maxClientWaitMicros(), timing, hasSuccessor, done));
   }
 
   /** Calls the action with the client key and the provider name of each established connection. */
@@ -350,9 +350,9 @@
     });
   }
 
-  /** Maps keys of clients to the providers they had through another process, which now sends the clients here. */
-  public void bindClients(long time, Map<String, String> providersByClient) {
-    runEvent(time, () -> balancer.restoreAffinity(events.now(), providersByClient));
+  /** Restores the affinity of clients that another process served and now sends here: provider names by client key. */
+  public void bindClients(long time, Map<String, String> providerByClient) {
+    runEvent(time, () -> balancer.restoreAffinity(events.now(), providerByClient));
   }
 
   /** Suspends exactly these providers, whatever the directory says, and resumes all others. */
--- a/proxy/src/main/java/amberhoist/core/DeadlineExpiry.java
+++ b/proxy/src/main/java/amberhoist/core/DeadlineExpiry.java
@@ -41,7 +41,7 @@
   }
 
   /** The proxy stops: lets the balancer answer its requests, then rejects the invocations still unanswered. */
-  void onStop(List<Long> unanswered, long retryAfter) {
+  void onStop(List<Long> unanswered, long retryAfterMicros) {
     balancer.stopAttempts(events.now());
     for (long invocationId : unanswered) {
       Invocation invocation = invocations.get(invocationId);
@@ -49,7 +49,7 @@
         attempts.expire(invocationId, invocation);
       }
       if (invocation != null && invocations.get(invocationId) == invocation) {
-        answers.rejectUndecided(invocationId, invocation, retryAfter);
+        answers.rejectUndecided(invocationId, invocation, retryAfterMicros);
       }
     }
   }
--- a/proxy/src/main/java/amberhoist/core/GracefulStop.java
+++ b/proxy/src/main/java/amberhoist/core/GracefulStop.java
@@ -22,20 +22,20 @@
   private final SlotTable<Invocation> invocations;
   private final TimerWheel wheel;
   private final EventQueue events;
-  private final LongConsumer move;
-  private final Consumer<List<Long>> close;
+  private final LongConsumer moveInvocation;
+  private final Consumer<List<Long>> rejectUnanswered;
   private boolean rejecting;
   private Runnable onStopped;
   private double dueMoves; // the fraction of a move carried over to the next step
 
-  /** Creates a stop that moves invocations by {@code move} and passes those unanswered at its end to {@code close}. */
-  GracefulStop(SlotTable<Invocation> invocations, TimerWheel wheel, EventQueue events, LongConsumer move,
-      Consumer<List<Long>> close) {
+  /** Creates a stop; {@code rejectUnanswered} receives the invocations that have no answer at its end. */
+  GracefulStop(SlotTable<Invocation> invocations, TimerWheel wheel, EventQueue events, LongConsumer moveInvocation,
+      Consumer<List<Long>> rejectUnanswered) {
     this.invocations = invocations;
     this.wheel = wheel;
     this.events = events;
-    this.move = move;
-    this.close = close;
+    this.moveInvocation = moveInvocation;
+    this.rejectUnanswered = rejectUnanswered;
   }
 
   /** Whether new invocations are rejected. */
@@ -44,18 +44,18 @@
   }
 
   /** Begins the stop, once only; {@code done} runs when no invocation is left. */
-  void begin(long time, long maxClientWaitMicros, Timing timing, boolean succeeded, Runnable done) {
+  void begin(long time, long maxClientWaitMicros, Timing timing, boolean hasSuccessor, Runnable done) {
     if (onStopped != null) {
       return;
     }
     onStopped = done;
-    long duration = Math.min(maxClientWaitMicros, timing.maxStopMicros());
-    long moveDelay = succeeded ? 0
+    long durationMicros = Math.min(maxClientWaitMicros, timing.maxStopMicros());
+    long moveDelayMicros = hasSuccessor ? 0
         : Math.max(timing.stopAcceptMicros(),
-            Math.min(timing.stopMoveDelayMicros(), (long) (MAX_MOVE_DELAY_FRACTION * duration)));
-    long end = time + duration + LAST_MOVES_MICROS;
+            Math.min(timing.stopMoveDelayMicros(), (long) (MAX_MOVE_DELAY_FRACTION * durationMicros)));
+    long end = time + durationMicros + LAST_MOVES_MICROS;
     wheel.arm(time + timing.stopAcceptMicros(), at -> events.run(at, () -> rejecting = true));
-    wheel.arm(time + moveDelay, at -> step(at, Math.min(end, time + MIN_STOP_MICROS), end));
+    wheel.arm(time + moveDelayMicros, at -> step(at, Math.min(end, time + MIN_STOP_MICROS), end));
   }
 
   private void step(long time, long minEnd, long end) {
@@ -68,9 +68,9 @@
       dueMoves += (double) established.size() / steps;
       long moves = isLast ? established.size() : (long) dueMoves;
       dueMoves -= moves;
-      established.stream().limit(moves).forEach(move::accept);
+      established.stream().limit(moves).forEach(moveInvocation::accept);
       if (isLast) {
-        close.accept(unanswered);
+        rejectUnanswered.accept(unanswered);
       }
     });
     if (invocations.size() == 0 && time >= minEnd) {
--- a/proxy/src/main/java/amberhoist/core/Limits.java
+++ b/proxy/src/main/java/amberhoist/core/Limits.java
@@ -6,7 +6,7 @@
  * Limits of the deployment that only the proxy applies. Times are in microseconds.
  *
  * @param connectTimeoutMicros timeout for connecting to a provider
- * @param maxClientWaitMicros the longest time that a client waits for its answer
+ * @param maxClientWaitMicros the maximum time that a client waits for its answer
  * @param classes the known classes; empty if any is accepted
  * @param tenants the known tenants; empty if any is accepted
  */
--- a/proxy/src/main/java/amberhoist/core/LoadLineClassifier.java
+++ b/proxy/src/main/java/amberhoist/core/LoadLineClassifier.java
@@ -28,8 +28,8 @@
     private long lastDelayAt; // microseconds, 0 for none yet
 
     /**
-     * Whether a line is on schedule, on any connection: a proxy that waited for two lines on the next one after a run's
-     * connection moved or ended got no delays for seconds, and sent clients to an overloaded provider.
+     * Whether a line is on schedule, on any connection. When the connection of a run has moved or ended, waiting for
+     * two lines on the next one would yield no delays for seconds, and clients would go to an overloaded provider.
      */
     private boolean matches(long now, double value) {
       long elapsed = now - lastDelayAt;
@@ -99,7 +99,7 @@
         || Math.abs(step - PERIOD_MILLIS) <= HANG_STEP_TOLERANCE_MILLIS;
   }
 
-  /** The latest known load of the connection in microseconds of work a second, 0 before any. */
+  /** The latest known load of the connection in microseconds of work per second, 0 before any. */
   double load() {
     for (int back = 1; back <= KEPT_LINES; back++) {
       int i = Math.floorMod(next - back, KEPT_LINES);
--- a/proxy/src/main/java/amberhoist/core/SilenceDetector.java
+++ b/proxy/src/main/java/amberhoist/core/SilenceDetector.java
@@ -86,7 +86,7 @@
     } else {
       armTimer(invocationId, invocation,
           Math.min(invocation.unansweredSince + timing.silenceTimeoutMicros(),
-          now + timing.sharedSilenceTimeoutMicros()));
+              now + timing.sharedSilenceTimeoutMicros()));
     }
   }
 }
--- a/proxy/src/main/java/amberhoist/core/Telemetry.java
+++ b/proxy/src/main/java/amberhoist/core/Telemetry.java
@@ -2,7 +2,7 @@
 
 import amberhoist.decide.Balancer.Outcome;
 
-/** Receives single events of the core, beside the counters. An implementation must not block or call the core. */
+/** Receives individual events of the core, beside the counters. An implementation must not block or call the core. */
 public interface Telemetry {
   /** The kind of the final answer to an invocation. */
   enum Answer {
--- a/proxy/src/main/java/amberhoist/core/TimerWheel.java
+++ b/proxy/src/main/java/amberhoist/core/TimerWheel.java
@@ -2,13 +2,13 @@
 
 /**
  * A timer wheel with coarse ticks. A timer fires in the first advance at or past its time, rounded up to a whole tick:
- * up to one tick late and never early. Reads no clock: {@link #advance} brings the time, in microseconds.
+ * up to one tick late and never early. Reads no clock: {@link #advance} receives the time in microseconds.
  */
 public final class TimerWheel {
   /** The action of a timer. */
   @FunctionalInterface
   public interface Task {
-    /** Runs once, at or after the time asked for; {@code now} is the time at which the timer fires. */
+    /** Runs once, at or after the time requested; {@code now} is the time at which the timer fires. */
     void run(long now);
   }
 
--- a/proxy/src/main/java/amberhoist/decide/Balancer.java
+++ b/proxy/src/main/java/amberhoist/decide/Balancer.java
@@ -48,7 +48,7 @@
     /** Requests a server's load report; answered by {@link #onLoadReport}, or not at all if no report is available. */
     void requestLoadReport(String serverName);
 
-    /** Schedules a call of {@link #scheduleTimer} with this token, at the given clock time or shortly after it. */
+    /** Schedules a call of {@link Balancer#onTimer} with this token, at the given clock time or shortly after it. */
     void scheduleTimer(long at, long token);
 
     /** Writes a line to the operator's log. */
--- a/proxy/src/main/java/amberhoist/decide/BalancerState.java
+++ b/proxy/src/main/java/amberhoist/decide/BalancerState.java
@@ -38,7 +38,7 @@
     boolean isCold;
     double coldExtraConnections; // beyond the fair share while cold
     double loadLimit = Double.MAX_VALUE;
-    long resumeProbeAt = Long.MAX_VALUE; // when a resumed server that is still unproven gets one connection
+    long resumeProbeAt = Long.MAX_VALUE; // when a resumed server is due for its probe
     double warmUpBudget; // setups
     long warmUpBudgetAt;
     double utilization; // demand over capacity in the latest load report
@@ -67,7 +67,7 @@
   /** The affinity entry of a client. */
   record AffinityEntry(TrackedServer server, long lastUsed) {}
 
-  /** A group of connections, with its recent requests, the offset of its latest search and its ranking of servers. */
+  /** A group of connections, with its recent requests, the offset of its latest request and its ranking of servers. */
   static final class ConnectionGroup {
     List<TrackedServer> rankedServers; // null until needed
     double recentRequests;
--- a/proxy/src/main/java/amberhoist/decide/Policy.java
+++ b/proxy/src/main/java/amberhoist/decide/Policy.java
@@ -25,7 +25,7 @@
 public final class Policy implements Balancer {
   // Times are in microseconds, as the names say; fractions and factors have no unit.
 
-  /** Lifetime of an affinity entry: outlives the pauses of a client, but not until its visit on another day. */
+  /** Lifetime of an affinity entry: longer than a client's pauses, too short to last until a visit on another day. */
   static final long AFFINITY_TTL_MICROS = 60_000_000;
   /** Interval between checks of queued requests and deadlines: well below any setup target. */
   static final long TICK_INTERVAL_MICROS = 20_000;
@@ -38,14 +38,14 @@
   /** Minimum time left for a further attempt: a few round trips. */
   static final long MIN_RETRY_TIME_MICROS = 50_000;
 
-  /** Fraction of the time for which a list counts as known after which the first subscription is made at the latest. */
+  /** Maximum delay of the first subscription, as a fraction of the age up to which the list counts as known. */
   static final double FIRST_SUBSCRIBE_FRACTION = 0.25;
   /** Base wait after a failed call to the list service; doubled with each further failure. */
   static final long MIN_LIST_RETRY_MICROS = 500_000;
   /** Maximum base wait after a failed call to the list service, so that the list does not become too old. */
   static final long MAX_LIST_RETRY_MICROS = 8_000_000;
 
-  /** Fraction of the warm-up budget in use: the capacity is an estimate, and random arrivals cluster. */
+  /** Fraction of the warm-up budget to use, since the capacity is an estimate and random arrivals cluster. */
   static final double WARM_UP_BUDGET_FRACTION = 0.8;
   /** Averaging time for the rate of finished connections: spans about a dozen of them at full size. */
   static final double COMPLETION_RATE_MEMORY_MICROS = 30_000_000;
@@ -180,7 +180,7 @@
   private long retryTokensAt;
   private int setupsInFlight;
   private double fleetShare; // of the use of the shared store that a balancer of a small fleet may make
-  private boolean closing; // no more attempts
+  private boolean attemptsStopped;
   private boolean usesLoadReports; // in a large fleet, where own connections are too few to judge servers by
   private double setupLimit;
   private long nextSetupAt; // while the setup limit is below one
@@ -192,14 +192,14 @@
   private long listRetryMicros = MIN_LIST_RETRY_MICROS;
 
   @Override
-  public void start(long now, Settings newSettings, long seed, Actions sink) {
+  public void start(long now, Settings newSettings, long seed, Actions newActions) {
     if (settings != null) {
       throw new IllegalStateException("balancer was already started");
     }
-    if (newSettings == null || sink == null) {
+    if (newSettings == null || newActions == null) {
       throw new IllegalArgumentException("settings and actions must not be null");
     }
-    actions = sink;
+    actions = newActions;
     random = new Random(seed);
     applySettings(newSettings);
     retryTokensAt = now;
@@ -227,11 +227,11 @@
     usesLoadReports = newSettings.offersLoadReports() && fleetShare < 1;
     requestClasses.clear();
     minMessageTargetMicros = minSetupTargetMicros = Double.MAX_VALUE;
-    for (RequestClass type : newSettings.requestClasses()) {
-      minSetupTargetMicros = Math.min(minSetupTargetMicros, type.setupTargetMicros());
-      requestClasses.put(type.name(), type);
-      minMessageTargetMicros = type.messageTargetMicros() > 0
-          ? Math.min(minMessageTargetMicros, type.messageTargetMicros()) : minMessageTargetMicros;
+    for (RequestClass requestClass : newSettings.requestClasses()) {
+      minSetupTargetMicros = Math.min(minSetupTargetMicros, requestClass.setupTargetMicros());
+      requestClasses.put(requestClass.name(), requestClass);
+      minMessageTargetMicros = requestClass.messageTargetMicros() > 0
+          ? Math.min(minMessageTargetMicros, requestClass.messageTargetMicros()) : minMessageTargetMicros;
     }
   }
 
@@ -333,8 +333,8 @@
     }
     tracked.request = request;
     tracked.requestClass = requestClasses.getOrDefault(request.className(), UNKNOWN_CLASS);
-    tracked.group = request.groupName() == null ? null : groups.computeIfAbsent(request.groupName(),
-        name -> new ConnectionGroup(random.nextDouble()));
+    tracked.group = request.groupName() == null ? null
+        : groups.computeIfAbsent(request.groupName(), name -> new ConnectionGroup(random.nextDouble()));
     tracked.loadKnown = request.loadHint() > 0;
     tracked.load = tracked.loadKnown ? request.loadHint() : typicalLoad(tracked.requestClass);
     recentGroupedRequests += tracked.group == null ? 0 : 1;
@@ -345,20 +345,20 @@
 
   /** Starts an attempt for a request that has none in flight, queues the request, or answers it. */
   private void dispatch(long now, TrackedRequest tracked) {
-    long timeLeft = tracked.request.deadline() - now;
-    if (closing || tracked.errors > 1 || tracked.attempts >= settings.maxAttempts()
-        || timeLeft <= ANSWER_MARGIN_MICROS + (tracked.attempts == 0 ? 0 : MIN_RETRY_TIME_MICROS)) {
+    long timeLeftMicros = tracked.request.deadline() - now;
+    if (attemptsStopped || tracked.errors > 1 || tracked.attempts >= settings.maxAttempts()
+        || timeLeftMicros <= ANSWER_MARGIN_MICROS + (tracked.attempts == 0 ? 0 : MIN_RETRY_TIME_MICROS)) {
       rejectOrFail(now, tracked);
       return;
     }
     boolean throttled = isThrottled(now); // will get its turn, so it may wait longer than one that no server can take
     TrackedServer server = throttled || awaitsReports(now, tracked) ? null : selectServer(now, tracked);
     boolean allSuspended = rotation.isEmpty() && !suspendedAt.isEmpty(); // no server is expected back soon
-    long waited = now - tracked.arrivedAt;
+    long waitedMicros = now - tracked.arrivedAt;
     if (server != null) {
-      startAttempt(now, tracked, server, timeLeft);
-    } else if (!allSuspended && (waited < tracked.requestClass.setupTargetMicros()
-        || throttled && waited < MAX_QUEUED_FRACTION * (waited + timeLeft))) {
+      startAttempt(now, tracked, server, timeLeftMicros);
+    } else if (!allSuspended && (waitedMicros < tracked.requestClass.setupTargetMicros()
+        || throttled && waitedMicros < MAX_QUEUED_FRACTION * (waitedMicros + timeLeftMicros))) {
       queued.add(tracked);
     } else {
       rejectOrFail(now, tracked);
@@ -503,8 +503,8 @@
     return Math.min(1, valuePerLoad(tracked.requestClass, tracked.load) * factor / maxValue);
   }
 
-  private double valuePerLoad(RequestClass type, double load) {
-    return settings.connectionValue().growsWithLoad() ? type.value() : type.value() / load;
+  private double valuePerLoad(RequestClass requestClass, double load) {
+    return settings.connectionValue().growsWithLoad() ? requestClass.value() : requestClass.value() / load;
   }
 
   /**
@@ -652,7 +652,7 @@
   /** Updates the maximum value of a unit of load, and the capacities, where a cold server counts with its fraction. */
   private void updateCapacities(long now) {
     maxValue = settings.requestClasses().stream()
-        .mapToDouble(type -> valuePerLoad(type, typicalLoad(type))).max().orElse(1);
+        .mapToDouble(each -> valuePerLoad(each, typicalLoad(each))).max().orElse(1);
     warmUtilization = Math.max(MIN_WARM_UTILIZATION, rotation.stream()
         .filter(server -> !server.isCold && server.hasRecentReport(now, LOAD_REPORT_TTL_MICROS))
         .mapToDouble(server -> server.utilization).average().orElse(1));
@@ -666,7 +666,7 @@
     }
   }
 
-  private void startAttempt(long now, TrackedRequest tracked, TrackedServer server, long timeLeft) {
+  private void startAttempt(long now, TrackedRequest tracked, TrackedServer server, long timeLeftMicros) {
     if (tracked.requestClass.effect() != Effect.IDEMPOTENT && !tracked.mayHaveRun) {
       tracked.mayHaveRunAt = now;
       tracked.mayHaveRunOn = server.info;
@@ -679,21 +679,21 @@
     // an overloaded shared store delays attempts on other servers just as much
     boolean storeOverloaded = fleetShare < 1 && setupLimit < INITIAL_SETUP_LIMIT * fleetShare / 2;
     boolean isLast = storeOverloaded || tracked.attempts >= settings.maxAttempts();
-    long timeoutMicros = isLast ? timeLeft
-        : Math.min(timeLeft, Math.max(tracked.requestClass.setupTargetMicros(), timeLeft / 2));
+    long timeoutMicros = isLast ? timeLeftMicros
+        : Math.min(timeLeftMicros, Math.max(tracked.requestClass.setupTargetMicros(), timeLeftMicros / 2));
     actions.startAttempt(tracked.request.id(), server.info.name(), timeoutMicros);
   }
 
   @Override
   public void restoreAffinity(long now, Map<String, String> serverByClient) {
     serverByClient.values().removeIf(name -> !servers.containsKey(name) || !servers.get(name).inRotation);
-    serverByClient.forEach((client, name) -> affinityEntries.putIfAbsent(client,
-        new AffinityEntry(servers.get(name), now)));
+    serverByClient.forEach((clientKey, name) ->
+        affinityEntries.putIfAbsent(clientKey, new AffinityEntry(servers.get(name), now)));
   }
 
-  private void recordAffinity(long now, String client, TrackedServer server) {
-    if (client != null && server != null && server.inRotation) {
-      affinityEntries.put(client, new AffinityEntry(server, now));
+  private void recordAffinity(long now, String clientKey, TrackedServer server) {
+    if (clientKey != null && server != null && server.inRotation) {
+      affinityEntries.put(clientKey, new AffinityEntry(server, now));
     }
   }
 
@@ -815,7 +815,7 @@
   private void resetAffinity(TrackedRequest tracked) {
     tracked.ignoresAffinity = true;
     affinityEntries.computeIfPresent(tracked.request.clientKey(),
-        (client, entry) -> entry.server() == tracked.server ? null : entry);
+        (clientKey, entry) -> entry.server() == tracked.server ? null : entry);
   }
 
   @Override
@@ -831,8 +831,8 @@
   }
 
   /** The load to expect of a connection until it is reported; it differs between classes by a factor of ten. */
-  private double typicalLoad(RequestClass type) {
-    TypicalLoad typical = typicalLoads.get(type.name());
+  private double typicalLoad(RequestClass requestClass) {
+    TypicalLoad typical = typicalLoads.get(requestClass.name());
     return typical == null || typical.samples < MIN_LOAD_SAMPLES ? meanLoad : typical.mean;
   }
 
@@ -920,7 +920,7 @@
 
   @Override
   public void stopAttempts(long now) {
-    closing = true;
+    attemptsStopped = true;
     retryQueued(now);
   }
 
--- a/proxy/src/main/java/amberhoist/directory/DirectoryUpdate.java
+++ b/proxy/src/main/java/amberhoist/directory/DirectoryUpdate.java
@@ -50,22 +50,22 @@
   public static DirectoryUpdate read(JsonParser json, Clock clock) throws IOException {
     require(json.currentToken() == JsonToken.START_OBJECT, "not an object");
     long index = -1;
-    boolean whole = false;
+    boolean snapshot = false;
     boolean hasEndpoints = false;
     List<Server> providers = new ArrayList<>();
     Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
-    Set<String> unread = new LinkedHashSet<>();
+    Set<String> unreadable = new LinkedHashSet<>();
     while (json.nextToken() == JsonToken.FIELD_NAME) {
       String field = json.currentName();
       json.nextToken();
       switch (field) {
         case "index" -> index = json.getLongValue();
-        case "snapshot" -> whole = json.getBooleanValue();
+        case "snapshot" -> snapshot = json.getBooleanValue();
         case "endpoints" -> {
           require(json.currentToken() == JsonToken.START_ARRAY, "endpoints is not an array");
           hasEndpoints = true;
           while (json.nextToken() == JsonToken.START_OBJECT) {
-            readEntry(json, clock, providers, addresses, unread);
+            readEntry(json, clock, providers, addresses, unreadable);
           }
           require(json.currentToken() == JsonToken.END_ARRAY, "an endpoint is not an object");
         }
@@ -74,11 +74,11 @@
     }
     require(json.currentToken() == JsonToken.END_OBJECT && index >= 0 && hasEndpoints,
         "incomplete object, or without index or endpoints");
-    return new DirectoryUpdate(index, whole, providers, addresses, unread);
+    return new DirectoryUpdate(index, snapshot, providers, addresses, unreadable);
   }
 
   private static void readEntry(JsonParser json, Clock clock, List<Server> providers,
-      Map<String, InetSocketAddress> addresses, Set<String> unread) throws IOException {
+      Map<String, InetSocketAddress> addresses, Set<String> unreadable) throws IOException {
     String name = null;
     InetSocketAddress address = null;
     String zone = "";
@@ -86,7 +86,7 @@
     int group = 0;
     ServerState state = null;
     double weight = 0;
-    long since = 0;
+    long startedAt = 0;
     boolean readable = true;
     while (json.nextToken() == JsonToken.FIELD_NAME) {
       String field = json.currentName();
@@ -105,7 +105,7 @@
           case "group" -> group = json.getIntValue();
           case "status" -> state = STATES.get(json.getText());
           case "weight" -> weight = json.getDoubleValue();
-          case "since_ms" -> since = clock.fromUnixMillis((long) json.getDoubleValue());
+          case "since_ms" -> startedAt = clock.fromUnixMillis((long) json.getDoubleValue());
           default -> { }
         }
       } catch (JsonProcessingException | IllegalArgumentException fault) {
@@ -114,10 +114,10 @@
     }
     require(name != null, "an endpoint has no name");
     if (!readable || state == null || address == null && state != ServerState.GONE) {
-      unread.add(name);
+      unreadable.add(name);
       return;
     }
-    providers.add(new Server(name, zone, type, group, state, weight, since));
+    providers.add(new Server(name, zone, type, group, state, weight, startedAt));
     if (address != null) {
       addresses.put(name, address);
     }
--- a/proxy/src/main/java/amberhoist/front/ClientHandler.java
+++ b/proxy/src/main/java/amberhoist/front/ClientHandler.java
@@ -5,7 +5,7 @@
 
 /** Handles a client's connection and sends it the core's answers in the client's protocol. */
 public interface ClientHandler extends ConnectionHandler {
-  /** Answers with a rejection and closes; {@code retryAfter} in microseconds, 0 to send none. */
+  /** Answers with a rejection and closes; a {@code retryAfterMicros} of 0 gives no retry-after. */
   void reject(Connection client, long retryAfterMicros);
 
   /** Answers that the invocation has failed, and closes. */
--- a/proxy/src/main/java/amberhoist/front/CommandDispatcher.java
+++ b/proxy/src/main/java/amberhoist/front/CommandDispatcher.java
@@ -10,14 +10,15 @@
 /** Dispatches the core's commands to the protocol handlers of the connections concerned. */
 public final class CommandDispatcher implements Commands {
   private final Transport transport;
-  private final ProviderHandler providers;
+  private final ProviderHandler providerHandler;
   private final Runnable ensureWatch;
   private final Consumer<String> log;
 
   /** Creates a dispatcher; {@code ensureWatch} starts the directory watch if needed, {@code log} logs a message. */
-  public CommandDispatcher(Transport transport, ProviderHandler providers, Runnable ensureWatch, Consumer<String> log) {
+  public CommandDispatcher(Transport transport, ProviderHandler providerHandler, Runnable ensureWatch,
+      Consumer<String> log) {
     this.transport = transport;
-    this.providers = providers;
+    this.providerHandler = providerHandler;
     this.ensureWatch = ensureWatch;
     this.log = log;
   }
@@ -25,23 +26,23 @@
   @Override
   public long connect(long invocationId, long clientId, String provider) {
     Connection client = transport.get(clientId);
-    return client == null ? SlotTable.NONE : providers.connect(invocationId, client, provider);
+    return client == null ? SlotTable.NONE : providerHandler.connect(invocationId, client, provider);
   }
 
   @Override
-  public void forwardOpenRequest(long providerId, long millis) {
-    transport.ifPresent(providerId, provider -> providers.forward(provider, millis));
+  public void forwardOpenRequest(long connectionId, long waitMillis) {
+    transport.ifPresent(connectionId, provider -> providerHandler.forward(provider, waitMillis));
   }
 
   @Override
-  public void abandon(long providerId) {
-    transport.ifPresent(providerId, transport::closeNow);
+  public void abandon(long connectionId) {
+    transport.ifPresent(connectionId, transport::closeNow);
   }
 
   @Override
-  public void relay(long clientId, long providerId) {
+  public void relay(long clientId, long connectionId) {
     Connection client = transport.get(clientId);
-    Connection provider = transport.get(providerId);
+    Connection provider = transport.get(connectionId);
     if (client != null && provider != null) {
       transport.relay(client, provider);
     }
@@ -52,8 +53,8 @@
   }
 
   @Override
-  public void reject(long clientId, long retryAfter) {
-    onClient(clientId, (handler, client) -> handler.reject(client, retryAfter));
+  public void reject(long clientId, long retryAfterMicros) {
+    onClient(clientId, (handler, client) -> handler.reject(client, retryAfterMicros));
   }
 
   @Override
@@ -68,7 +69,7 @@
 
   @Override
   public void requestLoadReport(String provider) {
-    providers.requestLoadReport(provider);
+    providerHandler.requestLoadReport(provider);
   }
 
   @Override
--- a/proxy/src/main/java/amberhoist/front/Front.java
+++ b/proxy/src/main/java/amberhoist/front/Front.java
@@ -12,7 +12,7 @@
 
   /**
    * Called when the proxy stops. Rejects clients that have not sent their open request yet, and those accepted from now
-   * on, with {@code retryAfter} in microseconds; an open request already on its way is thereby answered.
+   * on, giving them this retry-after; an open request that is already on its way is thereby answered.
    */
   void rejectNewClients(long retryAfterMicros);
 }
--- a/proxy/src/main/java/amberhoist/metrics/Latencies.java
+++ b/proxy/src/main/java/amberhoist/metrics/Latencies.java
@@ -20,8 +20,8 @@
 
     private final String helpText;
 
-    Span(String meaning) {
-      this.helpText = meaning;
+    Span(String helpText) {
+      this.helpText = helpText;
     }
 
     /** The help text on the metrics page. */
--- a/proxy/src/main/java/amberhoist/net/Acceptor.java
+++ b/proxy/src/main/java/amberhoist/net/Acceptor.java
@@ -15,7 +15,7 @@
   private static final long BACKLOG_GRACE_MICROS = 20_000; // time to accept the backlog before closing
 
   private final EventLoop loop;
-  private final DescriptorBudget descriptors;
+  private final DescriptorBudget descriptorBudget;
   private final Counters counters;
   private final Consumer<AsynchronousSocketChannel> front;
   private SocketLimits limits;
@@ -47,10 +47,10 @@
   };
 
   /** Creates an acceptor that passes accepted channels to a front. */
-  public Acceptor(EventLoop loop, DescriptorBudget descriptors, Counters counters, SocketLimits limits,
+  public Acceptor(EventLoop loop, DescriptorBudget descriptorBudget, Counters counters, SocketLimits limits,
       Consumer<AsynchronousSocketChannel> front) {
     this.loop = loop;
-    this.descriptors = descriptors;
+    this.descriptorBudget = descriptorBudget;
     this.counters = counters;
     this.limits = limits;
     this.front = front;
@@ -62,14 +62,14 @@
   }
 
   /** Starts to listen and accept; if {@code shared}, other processes may listen on the same address. */
-  public void listen(InetSocketAddress listen, boolean shared) throws IOException {
+  public void listen(InetSocketAddress address, boolean shared) throws IOException {
     server = AsynchronousServerSocketChannel.open(loop.channelGroup());
     server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
     server.setOption(StandardSocketOptions.SO_REUSEPORT, shared);
     try {
-      server.bind(listen, limits.backlog());
+      server.bind(address, limits.backlog());
     } catch (IOException fault) {
-      throw new IOException("cannot listen for clients on " + listen + ": " + fault.getMessage(), fault);
+      throw new IOException("cannot listen for clients on " + address + ": " + fault.getMessage(), fault);
     }
     accept();
   }
@@ -95,7 +95,7 @@
     if (!server.isOpen()) {
       return;
     }
-    paused = !closing && !descriptors.makeRoom(1);
+    paused = !closing && !descriptorBudget.makeRoom(1);
     if (!paused) {
       server.accept(null, acceptHandler);
     } else {
--- a/proxy/src/main/java/amberhoist/net/Connection.java
+++ b/proxy/src/main/java/amberhoist/net/Connection.java
@@ -46,11 +46,11 @@
   Runnable onWritten; // runs once the queue has been written; may be null
   Timer timer;
 
-  Connection(AsynchronousSocketChannel channel, Role role, ConnectionHandler handler, long linger) {
+  Connection(AsynchronousSocketChannel channel, Role role, ConnectionHandler handler, long lingerMicros) {
     this.channel = channel;
     this.role = role;
     this.handler = handler;
-    this.lingerMicros = linger;
+    this.lingerMicros = lingerMicros;
   }
 
   /** The id of this connection in the table of connections. */
--- a/proxy/src/main/java/amberhoist/net/DescriptorBudget.java
+++ b/proxy/src/main/java/amberhoist/net/DescriptorBudget.java
@@ -16,7 +16,7 @@
   private static final int SPARE_DESCRIPTORS = 16;
 
   /** Clients that have not sent their open request yet, longest idle first. */
-  private final Set<Connection> awaitingRequest = new LinkedHashSet<>();
+  private final Set<Connection> pendingClients = new LinkedHashSet<>();
 
   /** Connections being ended whose peer has not ended its side yet, oldest first. */
   private final Set<Connection> finishing = new LinkedHashSet<>();
@@ -38,25 +38,25 @@
 
   /** A connection has been accepted. */
   void onAccepted(Connection connection) {
-    awaitingRequest.add(connection);
+    pendingClients.add(connection);
   }
 
   /** A client has sent bytes before its open request; makes idle clients be evicted before slow ones. */
   void onInput(Connection connection) {
-    if (awaitingRequest.remove(connection)) {
-      awaitingRequest.add(connection);
+    if (pendingClients.remove(connection)) {
+      pendingClients.add(connection);
     }
   }
 
   /** A connection now serves an invocation: a client after its open request, or a connection to a provider. */
   void onAssigned(Connection connection) {
-    awaitingRequest.remove(connection);
+    pendingClients.remove(connection);
     count(connection, 1);
   }
 
   /** A connection is being ended and is held until its peer ends it too. */
   void onFinishing(Connection connection) {
-    if (!awaitingRequest.remove(connection)) {
+    if (!pendingClients.remove(connection)) {
       count(connection, -1);
     }
     finishing.add(connection);
@@ -64,7 +64,7 @@
 
   /** A connection has been closed. */
   void onClosed(Connection connection) {
-    if (!finishing.remove(connection) && !awaitingRequest.remove(connection)) {
+    if (!finishing.remove(connection) && !pendingClients.remove(connection)) {
       count(connection, -1);
     }
   }
@@ -80,7 +80,7 @@
   /** Evicts connections until the given number of further descriptors is available; false if it cannot be reached. */
   public boolean makeRoom(int additional) {
     while (held() + additional > maxDescriptors) {
-      Iterator<Connection> oldest = (finishing.isEmpty() ? awaitingRequest : finishing).iterator();
+      Iterator<Connection> oldest = (finishing.isEmpty() ? pendingClients : finishing).iterator();
       if (!oldest.hasNext()) {
         return false;
       }
@@ -96,7 +96,7 @@
 
   /** The number of descriptors held, including those reserved for the provider connections of clients. */
   public int held() {
-    return awaitingRequest.size() + finishing.size() + descriptorsServed();
+    return pendingClients.size() + finishing.size() + descriptorsServed();
   }
 
   private int descriptorsServed() {
--- a/proxy/src/main/java/amberhoist/net/DirectoryWatch.java
+++ b/proxy/src/main/java/amberhoist/net/DirectoryWatch.java
@@ -71,9 +71,7 @@
   private final CompletionHandler<Integer, Long> writeHandler = completion((watch, bytes) -> writeOrRead(watch));
   private final CompletionHandler<Integer, Long> readHandler = completion(this::onRead);
 
-  /**
-   * Creates a watch on the directory at the given address, from the given version of the list on.
-   */
+  /** Creates a watch on the directory at the given address, from the given version of the list on. */
   public DirectoryWatch(EventLoop loop, Core core, ProviderRegistry registry, Counters counters, WatchTiming timing,
       InetSocketAddress address, long index, long seed, Listener listener) {
     this.loop = loop;
--- a/proxy/src/main/java/amberhoist/net/EventLoop.java
+++ b/proxy/src/main/java/amberhoist/net/EventLoop.java
@@ -30,7 +30,7 @@
   private final ArrayDeque<Runnable> readyTasks = new ArrayDeque<>();
   private final Queue<Runnable> urgentTasks = new ConcurrentLinkedQueue<>();
   private boolean running;
-  private long lastTick = clock.now();
+  private long lastTickAt = clock.now();
   private boolean stalled; // the last tick was so late that it fired no timer
 
   private final Consumer<Throwable> faultHandler;
@@ -57,13 +57,13 @@
    */
   private void tick() {
     long now = clock.now();
-    long delayMicros = Math.max(0, now - lastTick - TICK_MICROS);
+    long delayMicros = Math.max(0, now - lastTickAt - TICK_MICROS);
     lagListener.accept(delayMicros);
     stalled = delayMicros > STALL_MICROS && !stalled;
     if (!stalled) {
       timerWheel.advance(now);
     }
-    lastTick = clock.now();
+    lastTickAt = clock.now();
   }
 
   /**
--- a/proxy/src/main/java/amberhoist/net/SocketLimits.java
+++ b/proxy/src/main/java/amberhoist/net/SocketLimits.java
@@ -3,8 +3,8 @@
 /**
  * Limits on the resources of one connection; the operator's file may set them.
  *
- * @param lingerMicros microseconds to wait for the peer to end its side after ours
- * @param maxQueuedBytes bytes; while more than this wait to be written, the other connection of the pair is not read
+ * @param lingerMicros time to wait for the peer to end its side after ours, in microseconds
+ * @param maxQueuedBytes bytes waiting to be written beyond which the other connection of the pair is not read
  * @param maxDiscardedBytes bytes read and discarded after the final answer; any more are not read
  * @param acceptPauseMicros microseconds to wait before the next accept after one has failed or descriptors ran out
  * @param backlog maximum number of connections waiting to be accepted
--- a/proxy/src/main/java/amberhoist/net/Transport.java
+++ b/proxy/src/main/java/amberhoist/net/Transport.java
@@ -22,7 +22,7 @@
  */
 public final class Transport {
   private final EventLoop loop;
-  private final DescriptorBudget descriptors;
+  private final DescriptorBudget descriptorBudget;
   private SocketLimits limits;
   private final SlotTable<Connection> connections = new SlotTable<>();
 
@@ -45,9 +45,9 @@
   }
 
   /** Creates a transport on this event loop that accounts for its descriptors in this budget. */
-  public Transport(EventLoop loop, DescriptorBudget descriptors, SocketLimits limits) {
+  public Transport(EventLoop loop, DescriptorBudget descriptorBudget, SocketLimits limits) {
     this.loop = loop;
-    this.descriptors = descriptors;
+    this.descriptorBudget = descriptorBudget;
     this.limits = limits;
   }
 
@@ -75,7 +75,7 @@
   public Connection registerAccepted(AsynchronousSocketChannel channel, ConnectionHandler handler) {
     Connection connection = new Connection(channel, Role.PENDING_CLIENT, handler, limits.lingerMicros());
     connection.id = connections.add(connection);
-    descriptors.onAccepted(connection);
+    descriptorBudget.onAccepted(connection);
     connection.connected = true;
     setNoDelay(connection);
     return connection;
@@ -107,7 +107,7 @@
     AsynchronousSocketChannel channel = AsynchronousSocketChannel.open(loop.channelGroup());
     Connection connection = new Connection(channel, Role.PROVIDER, handler, limits.lingerMicros());
     connection.id = connections.add(connection);
-    descriptors.onAssigned(connection);
+    descriptorBudget.onAssigned(connection);
     setNoDelay(connection);
     return connection;
   }
@@ -133,7 +133,7 @@
   /** Marks a connection as that of a client that has sent its open request, and counts it as served. */
   public void markAsClient(Connection connection) {
     connection.role = Role.CLIENT;
-    descriptors.onAssigned(connection);
+    descriptorBudget.onAssigned(connection);
   }
 
   /** The connection with this id, or null if it is closed. */
@@ -202,7 +202,7 @@
       return;
     }
     if (connection.role == Role.PENDING_CLIENT) {
-      descriptors.onInput(connection);
+      descriptorBudget.onInput(connection);
     }
     if (connection.finishing) {
       connection.inputBuffer.clear(); // input after the final answer is discarded
@@ -274,7 +274,7 @@
       closeNow(connection); // nothing can be written any more
     } else if (!connection.finishing && contains(connection)) {
       connection.finishing = true;
-      descriptors.onFinishing(connection);
+      descriptorBudget.onFinishing(connection);
       connection.handler.onReleased(connection);
       long timeoutMicros = 2 * limits.lingerMicros(); // for a peer that does not read
       connection.timer(loop.timerWheel().arm(loop.now() + timeoutMicros, now -> closeNow(connection)));
@@ -287,7 +287,7 @@
   public void closeNow(Connection connection) {
     if (contains(connection)) {
       connections.remove(connection.id);
-      descriptors.onClosed(connection);
+      descriptorBudget.onClosed(connection);
       connection.handler.onReleased(connection);
       connection.close();
     }
