--- a/lab/src/main/java/amberhoist/lab/Demo.java
+++ b/lab/src/main/java/amberhoist/lab/Demo.java
@@ -60,10 +60,9 @@
     try {
       Files.writeString(platformFile, platformJson());
       service = Service.start(ProxyConfig.load(new ConfigSources(null,
-          Map.of("instance.platform", platformFile.toString()),
-          Map.of()), new Clock()));
-    } catch (InvalidConfigException fault) {
-      throw new IOException(fault.getMessage(), fault);
+          Map.of("instance.platform", platformFile.toString()), Map.of()), new Clock()));
+    } catch (InvalidConfigException exception) {
+      throw new IOException(exception.getMessage(), exception);
     } finally {
       Files.delete(platformFile);
     }
--- a/lab/src/main/java/amberhoist/lab/FuzzCommand.java
+++ b/lab/src/main/java/amberhoist/lab/FuzzCommand.java
@@ -57,9 +57,9 @@
     Experiment experiment = experiments.get(0);
     for (long seed = firstSeed; seed < firstSeed + runs; seed++) {
       List<Fault> faults = randomFaults(experiment, new RandomSource(seed, 77));
-      RunResult outcome = run(experiment, faults, seed);
-      if (!outcome.violations().isEmpty()) {
-        String rule = outcome.violations().get(0).rule();
+      RunResult result = run(experiment, faults, seed);
+      if (!result.violations().isEmpty()) {
+        String rule = result.violations().get(0).rule();
         List<Fault> minimal = minimize(experiment, faults, seed, rule);
         System.out.println("seed " + seed + " breaks: " + run(experiment, minimal, seed).violations().get(0));
         System.out.println("with " + minimal.size() + " of " + faults.size() + " faults:");
--- a/lab/src/main/java/amberhoist/lab/RunCommand.java
+++ b/lab/src/main/java/amberhoist/lab/RunCommand.java
@@ -78,9 +78,9 @@
       }
     });
     int status = 0;
-    for (ClaimResult verdict : runs.claimResults()) {
-      System.out.println(verdict);
-      status = verdict.holds() ? status : 1;
+    for (ClaimResult claimResult : runs.claimResults()) {
+      System.out.println(claimResult);
+      status = claimResult.holds() ? status : 1;
     }
     if (outputFolder != null) {
       Path folder = new Results(runs).write(outputFolder);
--- a/lab/src/main/java/amberhoist/lab/emulator/ClientSession.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/ClientSession.java
@@ -12,11 +12,11 @@
   long id; // its id in the proxy's table of connections
   long invocationId = SlotTable.NONE; // its id in the core
   Attempt relayedAttempt; // the attempt whose connection is relayed; null before UP
-  int attemptsInFlight; // attempts in flight: sent, neither answered nor abandoned
-  int attemptsSent; // attempts sent
+  int attemptsInFlight; // sent, neither answered nor abandoned
+  int attemptsSent;
   int answerCount; // final answers from the proxy
   boolean closed; // at the proxy
-  boolean closedByClient; // closed by the client
+  boolean closedByClient;
 
   ClientSession(EmulatedClient client, EmulatedProxy proxy, long sentAt, long deadline) {
     this.client = client;
--- a/lab/src/main/java/amberhoist/lab/emulator/EmulatedClient.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/EmulatedClient.java
@@ -24,8 +24,7 @@
   private final double valueFraction; // of its value; below 1 if the tenant was over its share at arrival
 
   EmulatedClient(Simulation simulation, long number, int typeIndex, int tenantIndex, int group, String zone,
-      long lifeMicros,
-      double valueFraction) {
+      long lifeMicros, double valueFraction) {
     this.simulation = simulation;
     this.typeIndex = typeIndex;
     this.tenantIndex = tenantIndex;
--- a/lab/src/main/java/amberhoist/lab/emulator/EmulatedProxy.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/EmulatedProxy.java
@@ -26,7 +26,7 @@
   private Counters counters = new Counters();
   private Core core;
   private TimerWheel timerWheel;
-  private int incarnation; // incarnation: 0 before the first start, then counts starts
+  private int incarnation; // number of starts so far
   private boolean running;
 
   EmulatedProxy(Simulation simulation, int index, String zone) {
--- a/lab/src/main/java/amberhoist/lab/emulator/Simulation.java
+++ b/lab/src/main/java/amberhoist/lab/emulator/Simulation.java
@@ -134,8 +134,7 @@
    * @param serviceBySecond value answered in time over value wanted
    */
   public record RunResult(Map<String, Double> figures, List<ProtocolChecker.Violation> violations, String hash,
-      long eventCount,
-      long elapsedNanos, double[] serviceBySecond) {}
+      long eventCount, long elapsedNanos, double[] serviceBySecond) {}
 
   /** Runs the simulation to its end. May be called once. */
   public RunResult run() {
@@ -153,8 +152,7 @@
     clients.forEach(EmulatedClient::onSimulationEnd);
     long attempts = pastAttempts + proxies.stream().mapToLong(proxy -> proxy.counters().get(Count.CALLS)).sum();
     return new RunResult(figures.byName(checker, attempts), checker.violations(), eventHash.toString(),
-        time.handledEvents(),
-        System.nanoTime() - startNanos, figures.serviceBySecond());
+        time.handledEvents(), System.nanoTime() - startNanos, figures.serviceBySecond());
   }
 
   private void scheduleArrival(double perSecond) {
@@ -172,25 +170,24 @@
     double[] shares = tenantShares.clone();
     shares[0] *= trafficFactor;
     int tenantIndex = arrivals.nextIndex(shares);
-    int groups = Math.max(1, (int) (experiment.load().level() * capacity / typicalLoad / experiment.load()
-        .groupSize()));
+    int groups = Math.max(1,
+        (int) (experiment.load().level() * capacity / typicalLoad / experiment.load().groupSize()));
     int group = arrivals.nextInt(groups);
     List<String> zones = experiment.fleet().zones();
     String zone = zones.get(arrivals.nextInt(zones.size()));
     long lifeMicros = (long) (arrivals.nextExponential(micros(experiment.classes().get(typeIndex).life())));
     long tenantClients = clients.stream().filter(other -> other.tenantIndex == tenantIndex).count();
     double valueFraction = tenantClients < coveredConnections(tenantIndex) ? 1 : experiment.load().overShare();
-    EmulatedClient client =
-        new EmulatedClient(this, ++clientCount, typeIndex, tenantIndex, group, zone,
-            Math.max(SECOND_MICROS, lifeMicros), valueFraction);
+    EmulatedClient client = new EmulatedClient(this, ++clientCount, typeIndex, tenantIndex, group, zone,
+        Math.max(SECOND_MICROS, lifeMicros), valueFraction);
     clients.add(client);
     client.connect();
   }
 
   /** The number of connections that a tenant's share covers. */
   private double coveredConnections(int tenant) {
-    return experiment.load().quota() * capacity / typicalLoad * tenantShares[tenant] / Arrays.stream(tenantShares)
-        .sum();
+    return experiment.load().quota() * capacity / typicalLoad * tenantShares[tenant]
+        / Arrays.stream(tenantShares).sum();
   }
 
   /** Mean load of a connection, microseconds of work per second. */
@@ -265,8 +262,8 @@
   void publish(EmulatedProvider provider) {
     Server entry = provider.directoryEntry();
     for (EmulatedProxy proxy : proxies) {
-      long delay =
-          random.nextBetween(micros(experiment.directory().lateLeast()), micros(experiment.directory().lateMost()));
+      long delay = random.nextBetween(micros(experiment.directory().lateLeast()),
+          micros(experiment.directory().lateMost()));
       time.runAt(Math.max(time.now(), directoryBackAt) + delay,
           () -> proxy.onDirectoryUpdate(ListUpdateKind.CHANGES, List.of(entry)));
     }
@@ -375,12 +372,12 @@
     double coldShare = experiment.kinds().stream().mapToDouble(MachineKind::coldShare).min().orElse(1);
     long warmUpMicros = experiment.kinds().stream().mapToLong(kind -> micros(kind.coldTime())).max().orElse(0);
     List<RequestClass> classes = experiment.classes().stream()
-        .map(type -> new RequestClass(type.name(), Effect.IDEMPOTENT,
-        DedupScope.ALL, micros(type.aim()), 0, type.worth(), micros(type.message()))).toList();
+        .map(type -> new RequestClass(type.name(), Effect.IDEMPOTENT, DedupScope.ALL, micros(type.aim()), 0,
+            type.worth(), micros(type.message())))
+        .toList();
     double budgetFactor = mutant == Mutant.RAMPS_AS_IF_ALONE ? proxies.size() : 1;
     return new Settings(zone, proxyIndex, proxies.size(), classes, true, 10 * SECOND_MICROS, 6, MAX_RETRY_AFTER_MICROS,
-        0.02, 0.03,
-        coldShare, warmUpMicros, budgetFactor * experiment.fleet().coldMultiple(),
+        0.02, 0.03, coldShare, warmUpMicros, budgetFactor * experiment.fleet().coldMultiple(),
         micros(experiment.fleet().coldWindow()), connectionValue(), experiment.fleet().reports());
   }
 }
--- a/lab/src/main/java/amberhoist/lab/experiment/Experiment.java
+++ b/lab/src/main/java/amberhoist/lab/experiment/Experiment.java
@@ -211,8 +211,7 @@
       new Store(0, Duration.ofMillis(10)),
       new Directory(Duration.ofMillis(800), Duration.ofSeconds(4), Duration.ofSeconds(8)),
       List.of(MachineKind.DEFAULT), List.of(ConnectionClass.DEFAULT), List.of(Tenant.DEFAULT), List.of(),
-      List.of(Variant.DEFAULT),
-      List.of());
+      List.of(Variant.DEFAULT), List.of());
 
   /** Returns this experiment with other faults. */
   public Experiment withFaults(List<Fault> newFaults) {
--- a/lab/src/main/java/amberhoist/lab/experiment/ExperimentFile.java
+++ b/lab/src/main/java/amberhoist/lab/experiment/ExperimentFile.java
@@ -127,8 +127,8 @@
         flags.put(set.substring(0, equals), set.substring(equals + 1));
       }
     }
-    OperatorConfigResult reading = ProxyConfig.readOperatorKeys(new ConfigSources(null, flags, Map.of()), false);
-    reading.problems().addAll(problems);
-    return reading;
+    OperatorConfigResult result = ProxyConfig.readOperatorKeys(new ConfigSources(null, flags, Map.of()), false);
+    result.problems().addAll(problems);
+    return result;
   }
 }
--- a/lab/src/main/java/amberhoist/lab/group/GroupMutations.java
+++ b/lab/src/main/java/amberhoist/lab/group/GroupMutations.java
@@ -7,7 +7,7 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** Creates the disks and sequences of members, with the defects of {@link GroupMutant} built in. */
+/** Creates the disks and policy versions of members, with the defects of {@link GroupMutant} built in. */
 final class GroupMutations {
   private static final int VOTE_FRAME_KIND = 3; // kind of the frames that hold term and vote
   private static final int FRAME_HEADER_BYTES = 9;
@@ -29,22 +29,22 @@
     return mutant == GroupMutant.FORGETS_VOTES ? new VoteDroppingDisk(disk) : disk;
   }
 
-  /** Returns the sequence of changes that a member starts with. */
+  /** Returns the policy versions of a member before the first change. */
   static PolicyVersions newSequence(GroupMutant mutant) {
     return switch (mutant) {
       case TAKES_TWICE -> new PolicyVersions() {
-        private int taken;
+        private int changeCount;
 
         @Override
-        public ChangeResult apply(PolicyChange change, boolean welcome) {
-          return super.apply(new PolicyChange(change.id() + '#' + taken++, change.baseVersion(), change.document()),
-              welcome);
+        public ChangeResult apply(PolicyChange change, boolean acceptsNew) {
+          return super.apply(
+              new PolicyChange(change.id() + '#' + changeCount++, change.baseVersion(), change.document()), acceptsNew);
         }
       };
       case IGNORES_BASE -> new PolicyVersions() {
         @Override
-        public ChangeResult apply(PolicyChange change, boolean welcome) {
-          return super.apply(new PolicyChange(change.id(), version(), change.document()), welcome);
+        public ChangeResult apply(PolicyChange change, boolean acceptsNew) {
+          return super.apply(new PolicyChange(change.id(), version(), change.document()), acceptsNew);
         }
       };
       default -> new PolicyVersions();
--- a/lab/src/main/java/amberhoist/lab/group/GroupSimulation.java
+++ b/lab/src/main/java/amberhoist/lab/group/GroupSimulation.java
@@ -200,8 +200,8 @@
     if (mutant == GroupMutant.ANSWERS_UNDECIDED && machine.self.equals(machine.member.leader())) {
       checker.onAnswered(time.now(), change, new ChangeResult(true, change.baseVersion() + 1));
     }
-    machine.member.propose(change).whenComplete((answer, fault) -> {
-      if (fault == null && !attemptEnded[0]) {
+    machine.member.propose(change).whenComplete((answer, failure) -> {
+      if (failure == null && !attemptEnded[0]) {
         attemptEnded[0] = true;
         checker.onAnswered(time.now(), change, answer.getResult());
         scheduleChange(operator);
@@ -219,9 +219,9 @@
     private final List<byte[]> contentsAtStarts = new ArrayList<>();
     private GroupMember member;
     private final double clockRate;
-    private Leases.MemberLease leaseHolder = new Leases.MemberLease();
-    private Leases.LeaderLeases leaseGranter;
-    private int granterTerm = -1;
+    private Leases.MemberLease memberLease = new Leases.MemberLease();
+    private Leases.LeaderLeases leaderLeases;
+    private int leaderLeasesTerm = -1;
     private int incarnation;
     private long pausedUntilMicros;
 
@@ -246,9 +246,9 @@
       return switch (mutant) {
         case SKIPS_LEASE -> rollout.isPending() ? -1 : rollout.inForceVersion();
         case DECIDES_WHILE_PENDING -> rollout.isPending() ? rollout.inForceVersion()
-            : leaseHolder.usableVersion(clockMicros(), member.appliedIndex(), rollout);
-        case IGNORES_INDEX -> leaseHolder.usableVersion(clockMicros(), Long.MAX_VALUE, rollout);
-        default -> leaseHolder.usableVersion(clockMicros(), member.appliedIndex(), rollout);
+            : memberLease.usableVersion(clockMicros(), member.appliedIndex(), rollout);
+        case IGNORES_INDEX -> memberLease.usableVersion(clockMicros(), Long.MAX_VALUE, rollout);
+        default -> memberLease.usableVersion(clockMicros(), member.appliedIndex(), rollout);
       };
     }
 
@@ -286,15 +286,15 @@
     }
 
     private void actAsLeader(Rollout rollout) {
-      if (granterTerm != member.term()) {
-        granterTerm = member.term();
-        leaseGranter = new Leases.LeaderLeases(mutant == GroupMutant.FORGETS_LEASES ? Long.MIN_VALUE / 2
-            : clockMicros());
+      if (leaderLeasesTerm != member.term()) {
+        leaderLeasesTerm = member.term();
+        leaderLeases = new Leases.LeaderLeases(
+            mutant == GroupMutant.FORGETS_LEASES ? Long.MIN_VALUE / 2 : clockMicros());
       }
       List<String> members = allMembers.stream().map(MemberId::name).toList();
       byte[] command = mutant == GroupMutant.CONCLUDES_EARLY && rollout.isPending()
           ? Rollout.concludeCommand(rollout.latestVersion(), true)
-          : leaseGranter.conclusionCommand(clockMicros(), members, rollout);
+          : leaderLeases.conclusionCommand(clockMicros(), members, rollout);
       if (command != null) {
         member.replicate(command);
       }
@@ -304,18 +304,18 @@
     private void onLeaseRequest(MemberMachine requester, long requestedAt) {
       int term = member.term();
       int ownIncarnation = incarnation;
-      if (!isLeader() || granterTerm != term) {
+      if (!isLeader() || leaderLeasesTerm != term) {
         return;
       }
-      member.confirmLeadership().whenComplete((confirmed, fault) -> {
-        if (fault == null && incarnation == ownIncarnation && isLeader() && member.term() == term
-            && leaseGranter.tryGrant(requester.name(), clockMicros(), member.rollout())) {
+      member.confirmLeadership().whenComplete((confirmed, failure) -> {
+        if (failure == null && incarnation == ownIncarnation && isLeader() && member.term() == term
+            && leaderLeases.tryGrant(requester.name(), clockMicros(), member.rollout())) {
           int requesterIncarnation = requester.incarnation;
           send(requester, () -> {
             if (requester.incarnation == requesterIncarnation) {
               boolean stretches = mutant == GroupMutant.STRETCHES_LEASE;
               long leaseStart = stretches ? requester.clockMicros() + 2 * Leases.DURATION_MICROS : requestedAt;
-              requester.leaseHolder.onGranted(leaseStart, confirmed.getCommitIndex());
+              requester.memberLease.onGranted(leaseStart, confirmed.getCommitIndex());
             }
           });
         }
@@ -356,8 +356,8 @@
     void start() {
       incarnation++;
       int ownIncarnation = incarnation;
-      leaseHolder = new Leases.MemberLease();
-      granterTerm = -1;
+      memberLease = new Leases.MemberLease();
+      leaderLeasesTerm = -1;
       contentsAtStarts.add(disk.readAll());
       try {
         RaftLog log = new RaftLog(GroupMutations.diskAtStart(mutant, disk, contentsAtStarts));
@@ -411,8 +411,8 @@
     }
 
     @Override
-    public void onApplied(long index, byte[] command, ChangeResult verdict) {
-      checker.onApplied(time.now(), name(), index, command, verdict);
+    public void onApplied(long index, byte[] command, ChangeResult result) {
+      checker.onApplied(time.now(), name(), index, command, result);
     }
 
     @Override
--- a/lab/src/main/java/amberhoist/lab/run/Results.java
+++ b/lab/src/main/java/amberhoist/lab/run/Results.java
@@ -53,8 +53,8 @@
     }
     appendDifferences(report);
     report.append("\n![service in each second](service.png)\n\n## Claims\n\n");
-    for (ClaimResult verdict : runs.claimResults()) {
-      report.append("- ").append(verdict).append('\n');
+    for (ClaimResult claimResult : runs.claimResults()) {
+      report.append("- ").append(claimResult).append('\n');
     }
     return report.toString();
   }
--- a/lab/src/main/java/amberhoist/lab/scale/ControllerMachine.java
+++ b/lab/src/main/java/amberhoist/lab/scale/ControllerMachine.java
@@ -42,8 +42,8 @@
     /** Sends a distributor's reply to a proxy. */
     void sendReply(ControllerMachine from, String proxy, Message.Reply reply);
 
-    /** A controller has applied an entry of the log; {@code verdict} is null unless it proposes a change. */
-    void onApplied(ControllerMachine at, byte[] command, ChangeResult verdict);
+    /** A controller has applied an entry of the log; {@code result} is null unless it proposes a change. */
+    void onApplied(ControllerMachine at, byte[] command, ChangeResult result);
   }
 
   private static final long TURN_MICROS = 50_000;
@@ -235,9 +235,9 @@
   }
 
   @Override
-  public void onApplied(long index, byte[] command, ChangeResult verdict) {
+  public void onApplied(long index, byte[] command, ChangeResult result) {
     controller.onStateChanged();
-    environment.onApplied(this, command, verdict);
+    environment.onApplied(this, command, result);
   }
 
   @Override
--- a/lab/src/main/java/amberhoist/lab/scale/ScaleMutations.java
+++ b/lab/src/main/java/amberhoist/lab/scale/ScaleMutations.java
@@ -17,9 +17,9 @@
   private ScaleMutations() {}
 
   static Distributor newDistributor(ScaleMutant mutant, DistributionSettings settings, long now,
-      BiConsumer<String, Reply> link) {
+      BiConsumer<String, Reply> sender) {
     long startedAt = mutant == ScaleMutant.FORGETS_EARLIER_LIFE ? now - 4 * settings.leaseMicros() : now;
-    Distributor distributor = new Distributor(settings, startedAt, link) {
+    Distributor distributor = new Distributor(settings, startedAt, sender) {
       @Override
       protected long leaseMicrosAt(long at) {
         return mutant == ScaleMutant.LEASE_OUTLASTS_OWN || mutant == ScaleMutant.GRANTS_WITHOUT_LEASE
@@ -68,8 +68,8 @@
   }
 
   static Subscriber newSubscriber(ScaleMutant mutant, DistributionSettings settings, String name, long incarnation,
-      List<String> distributors, RandomGenerator random, long now, BiConsumer<String, Request> link) {
-    return new Subscriber(settings, name, incarnation, distributors, random, now, link) {
+      List<String> distributors, RandomGenerator random, long now, BiConsumer<String, Request> sender) {
+    return new Subscriber(settings, name, incarnation, distributors, random, now, sender) {
       private long leaseUntil = Long.MIN_VALUE;
 
       @Override
--- a/lab/src/main/java/amberhoist/lab/scale/ScaleSimulation.java
+++ b/lab/src/main/java/amberhoist/lab/scale/ScaleSimulation.java
@@ -68,8 +68,7 @@
       proxiesByName.put(proxy.name(), proxy);
     }
     faultInjector = new FaultInjector(settings, time, new RandomSource(settings.seed(), 5), topology, network,
-        controllers,
-        proxies);
+        controllers, proxies);
     operators = new OperatorSimulator(time, new RandomSource(settings.seed(), 4), controllers, checker, proxies,
         settings.documentBytes(), faultInjector::onChangeSent);
   }
@@ -180,10 +179,10 @@
     }
 
     @Override
-    public void onApplied(ControllerMachine at, byte[] command, ChangeResult verdict) {
-      if (verdict != null && verdict.isAccepted()) {
+    public void onApplied(ControllerMachine at, byte[] command, ChangeResult result) {
+      if (result != null && result.isAccepted()) {
         PolicyChange change = Rollout.decodeProposal(command);
-        checker.onAccepted(verdict.version(), change.id(), change.document().getBytes(StandardCharsets.UTF_8));
+        checker.onAccepted(result.version(), change.id(), change.document().getBytes(StandardCharsets.UTF_8));
       }
       Rollout rollout = at.member().rollout();
       if (!rollout.isPending() && rollout.latestVersion() > lastConcludedVersion) {
--- a/lab/src/main/java/amberhoist/lab/slope/Measurement.java
+++ b/lab/src/main/java/amberhoist/lab/slope/Measurement.java
@@ -14,33 +14,33 @@
   PLACEMENT("providers", "us a placement", 30, 100, 300, 1000, 3000) {
     @Override
     double measureOnce(int size) {
-      ModuleBenchmark bench = new ModuleBenchmark(size, GROUPS, false);
-      return measurePlacements(bench);
+      ModuleBenchmark benchmark = new ModuleBenchmark(size, GROUPS, false);
+      return measurePlacements(benchmark);
     }
   },
   /** Time to place a connection, by number of groups. */
   GROUPS_KNOWN("groups", "us a placement", 10, 100, 1000, 10_000) {
     @Override
     double measureOnce(int size) {
-      ModuleBenchmark bench = new ModuleBenchmark(PROVIDERS, size, false);
+      ModuleBenchmark benchmark = new ModuleBenchmark(PROVIDERS, size, false);
       for (int i = 0; i < size; i++) {
-        bench.placeConnection(); // computes the provider order of each group, which is done once
+        benchmark.placeConnection(); // computes the provider order of each group, which is done once
       }
-      return measurePlacements(bench);
+      return measurePlacements(benchmark);
     }
   },
   /** Memory that the decision module keeps for groups, with 300 providers. */
   GROUPS_MEMORY("groups", "KB", 10_000, 20_000, 50_000, 100_000) {
     @Override
     double measureOnce(int size) {
-      ModuleBenchmark bench = new ModuleBenchmark(PROVIDERS, size, false);
-      bench.placeConnection();
+      ModuleBenchmark benchmark = new ModuleBenchmark(PROVIDERS, size, false);
+      benchmark.placeConnection();
       long before = usedHeapBytes();
       for (int i = 0; i < size; i++) {
-        bench.placeConnection();
+        benchmark.placeConnection();
       }
       long after = usedHeapBytes();
-      bench.advanceOneSecond(); // keeps the module reachable until here
+      benchmark.advanceOneSecond(); // keeps the module reachable until here
       return (after - before) / 1024.0;
     }
   },
@@ -48,13 +48,13 @@
   STANDING("connections", "ms a second", 100, 1000, 10_000, 88_400) {
     @Override
     double measureOnce(int size) {
-      ModuleBenchmark bench = new ModuleBenchmark(PROVIDERS, GROUPS, false);
+      ModuleBenchmark benchmark = new ModuleBenchmark(PROVIDERS, GROUPS, false);
       for (int i = 0; i < size; i++) {
-        bench.handOverConnection(i % PROVIDERS);
+        benchmark.handOverConnection(i % PROVIDERS);
       }
-      bench.advanceOneSecond();
+      benchmark.advanceOneSecond();
       long before = System.nanoTime();
-      bench.advanceOneSecond();
+      benchmark.advanceOneSecond();
       return (System.nanoTime() - before) / NANOS_PER_MILLI;
     }
   },
@@ -62,14 +62,14 @@
   REPORT("connections", "us a report", 100, 1000, 10_000, 88_400) {
     @Override
     double measureOnce(int size) {
-      ModuleBenchmark bench = new ModuleBenchmark(PROVIDERS, GROUPS, true);
+      ModuleBenchmark benchmark = new ModuleBenchmark(PROVIDERS, GROUPS, true);
       for (int i = 0; i < size; i++) {
-        bench.handOverConnection(i % PROVIDERS);
+        benchmark.handOverConnection(i % PROVIDERS);
       }
       int reports = 20;
       long before = System.nanoTime();
       for (int i = 0; i < reports; i++) {
-        bench.reportLoad(i, 0.5);
+        benchmark.reportLoad(i, 0.5);
       }
       return (System.nanoTime() - before) / NANOS_PER_MICRO / reports;
     }
@@ -78,9 +78,9 @@
   RELAY_MEMORY("connections", "KB", 100, 300, 1000, 3000, 6000) {
     @Override
     double measureOnce(int size) {
-      try (RelayBenchmark bench = new RelayBenchmark(size)) {
-        bench.openConnections(size);
-        return bench.residentKb();
+      try (RelayBenchmark benchmark = new RelayBenchmark(size)) {
+        benchmark.openConnections(size);
+        return benchmark.residentKb();
       } catch (IOException fault) {
         throw new UncheckedIOException(fault);
       }
@@ -90,11 +90,11 @@
   RELAY_LINES("lines", "ms", 10_000, 30_000, 100_000, 300_000) {
     @Override
     double measureOnce(int size) {
-      try (RelayBenchmark bench = new RelayBenchmark(1000)) {
-        bench.openConnections(1000);
-        double before = bench.processorMicros();
-        bench.echoLines(size);
-        return (bench.processorMicros() - before) / NANOS_PER_MICRO;
+      try (RelayBenchmark benchmark = new RelayBenchmark(1000)) {
+        benchmark.openConnections(1000);
+        double before = benchmark.processorMicros();
+        benchmark.echoLines(size);
+        return (benchmark.processorMicros() - before) / NANOS_PER_MICRO;
       } catch (IOException fault) {
         throw new UncheckedIOException(fault);
       }
@@ -168,14 +168,14 @@
     return samples[repetitions / 2];
   }
 
-  private static double measurePlacements(ModuleBenchmark bench) {
+  private static double measurePlacements(ModuleBenchmark benchmark) {
     int placed = 0;
     for (int i = 0; i < PLACEMENTS / 4; i++) {
-      bench.placeConnection();
+      benchmark.placeConnection();
     }
     long before = System.nanoTime();
     for (int i = 0; i < PLACEMENTS; i++) {
-      placed += bench.placeConnection() ? 1 : 0;
+      placed += benchmark.placeConnection() ? 1 : 0;
     }
     if (placed < PLACEMENTS) {
       throw new IllegalStateException(placed + " of " + PLACEMENTS + " were placed");
--- a/proxy/src/main/java/amberhoist/distribution/DistributionSettings.java
+++ b/proxy/src/main/java/amberhoist/distribution/DistributionSettings.java
@@ -50,8 +50,7 @@
   /** Returns these settings with another rate of admissions. */
   public DistributionSettings withAdmissionsPerSecond(int perSecond) {
     return new DistributionSettings(fleet, renewPeriodMicros, leaseMicros, stagingMicros, perSecond, maxSubscribers,
-        bytesPerSecond, maxChunkBytes,
-        minBackoffMicros, maxBackoffMicros, returnPeriodMicros);
+        bytesPerSecond, maxChunkBytes, minBackoffMicros, maxBackoffMicros, returnPeriodMicros);
   }
 
   /** Returns the default settings for a fleet of this name. */
--- a/proxy/src/main/java/amberhoist/distribution/Subscriber.java
+++ b/proxy/src/main/java/amberhoist/distribution/Subscriber.java
@@ -33,15 +33,15 @@
   private final List<String> distributors;
   private final BiConsumer<String, Request> sender;
   private final Backoff backoff;
-  private final TokenBucket budget;
-  private int targetIndex; // index of the current distributor
-  private boolean hasTargetAnswered; // by the current distributor
+  private final TokenBucket byteBudget;
+  private int currentIndex; // of the current distributor
+  private boolean hasCurrentAnswered; // whether the current distributor has replied
   private String formerDistributor; // the distributor before, which may still count a lease of this subscriber; or null
   private int missedRenewals;
   private long renewAt;
   private long returnAt;
   private Document inForce = Document.EMPTY;
-  private Document preparedDocument; // the prepared document, or null
+  private Document preparedDocument; // null if none
   private long leaseUntil = NEVER;
   private long grantsValidFrom = NEVER; // grants for earlier requests are ignored
   private Download download;
@@ -64,7 +64,7 @@
     this.distributors = List.copyOf(distributors);
     this.sender = sender;
     backoff = new Backoff(now, settings.minBackoffMicros(), settings.maxBackoffMicros(), random);
-    budget = new TokenBucket(now, settings.bytesPerSecond(),
+    byteBudget = new TokenBucket(now, settings.bytesPerSecond(),
         Math.max(2 * settings.maxChunkBytes(), settings.bytesPerSecond()));
     renewAt = now + (long) (settings.renewPeriodMicros() * random.nextDouble());
     returnAt = now + backoff.withJitter(settings.returnPeriodMicros());
@@ -87,7 +87,7 @@
 
   /** Returns the name of the current distributor. */
   public String currentDistributor() {
-    return distributors.get(targetIndex);
+    return distributors.get(currentIndex);
   }
 
   /** Returns the number of transfers that were invalid or did not match the checksum of their offer. */
@@ -118,7 +118,7 @@
     if (now >= fetchAt) {
       fetchNextChunk(now);
     }
-    if (targetIndex != 0 && now >= returnAt) {
+    if (currentIndex != 0 && now >= returnAt) {
       returnAt = now + backoff.withJitter(settings.returnPeriodMicros());
       send(distributors.get(0), renewal(now)); // on a reply the subscriber changes back to it
     }
@@ -141,16 +141,16 @@
 
   /** Changes to the next distributor, and asks it after the backoff or {@code minDelay}, whichever is longer. */
   private void changeToNext(long now, long minDelay) {
-    changeTo((targetIndex + 1) % distributors.size());
+    changeTo((currentIndex + 1) % distributors.size());
     missedRenewals = 0;
-    hasTargetAnswered = false;
+    hasCurrentAnswered = false;
     fetchAt = Long.MAX_VALUE;
     renewAt = now + Math.max(minDelay, backoff.delayAfterFailure(now));
   }
 
   private void changeTo(int next) {
     formerDistributor = currentDistributor();
-    targetIndex = next;
+    currentIndex = next;
     distributorChanges++;
   }
 
@@ -179,19 +179,19 @@
   public void onReply(long now, String distributor, Reply reply, int messageBytes) {
     boolean isRejection = reply instanceof Deferred || reply instanceof Rejected;
     if (!distributor.equals(currentDistributor())) {
-      if (isRejection || !distributor.equals(distributors.get(0)) || targetIndex == 0) {
+      if (isRejection || !distributor.equals(distributors.get(0)) || currentIndex == 0) {
         return; // from a former distributor, or a rejection from the preferred one
       }
       changeTo(0);
     }
-    budget.charge(now, messageBytes);
+    byteBudget.charge(now, messageBytes);
     missedRenewals = 0;
     if (isRejection) {
       onRejection(now, reply);
       return;
     }
-    if (!hasTargetAnswered) {
-      hasTargetAnswered = true;
+    if (!hasCurrentAnswered) {
+      hasCurrentAnswered = true;
       backoff.onSuccess();
     }
     if (reply instanceof Status status) {
@@ -292,7 +292,7 @@
 
   private void continueDownload(long now) {
     if (!download.isComplete()) {
-      fetchAt = now + budget.microsUntil(now, settings.maxChunkBytes() + MESSAGE_OVERHEAD_BYTES);
+      fetchAt = now + byteBudget.microsUntil(now, settings.maxChunkBytes() + MESSAGE_OVERHEAD_BYTES);
       return;
     }
     Download complete = download;
@@ -305,7 +305,7 @@
         acceptDocument(now, document, complete.offer().pending());
         return;
       }
-    } catch (DataFormatException unfit) {
+    } catch (DataFormatException invalid) {
       // counted as corrupt below
     }
     corruptTransfers++;
--- a/proxy/src/main/java/amberhoist/distribution/controller/Controller.java
+++ b/proxy/src/main/java/amberhoist/distribution/controller/Controller.java
@@ -37,7 +37,7 @@
   private final Replica replica; // null for a member
   private final ReplicatedState replicatedState;
   private final Distributor distributor;
-  private final PeerLink peers;
+  private final PeerLink peerLink;
   private final LongSupplier clock;
   private final Leases.MemberLease memberLease = new Leases.MemberLease();
   private final ReplicaFeed feed = new ReplicaFeed();
@@ -50,13 +50,13 @@
   private long reportAt = Long.MIN_VALUE;
 
   private Controller(String name, List<String> controllers, GroupMember member, Replica replica,
-      Distributor distributor, PeerLink peers, LongSupplier clock) {
+      Distributor distributor, PeerLink peerLink, LongSupplier clock) {
     this.name = name;
     this.controllers = List.copyOf(controllers);
     this.member = member;
     this.replica = replica;
     this.distributor = distributor;
-    this.peers = peers;
+    this.peerLink = peerLink;
     this.clock = clock;
     replicatedState = member == null ? replica : new MemberState();
   }
@@ -68,15 +68,15 @@
    * @param clock monotonic clock, in microseconds
    */
   public static Controller member(MemberId self, List<String> controllers, GroupMember member, Distributor distributor,
-      PeerLink peers, LongSupplier clock) {
-    return new Controller(self.name(), controllers, member, null, distributor, peers, clock);
+      PeerLink peerLink, LongSupplier clock) {
+    return new Controller(self.name(), controllers, member, null, distributor, peerLink, clock);
   }
 
   /** Creates a controller that is no member of the group, and gets the state from the leader among these voters. */
   public static Controller replica(String name, List<String> controllers, List<String> voters, Distributor distributor,
-      PeerLink peers, LongSupplier clock) {
+      PeerLink peerLink, LongSupplier clock) {
     Replica replica = new Replica(voters, name.hashCode());
-    return new Controller(name, controllers, null, replica, distributor, peers, clock);
+    return new Controller(name, controllers, null, replica, distributor, peerLink, clock);
   }
 
   /** The state has changed: passes it to the distributor, before a lease that requires it, and to replicas. */
@@ -88,7 +88,7 @@
     if (changed && isLeader()) {
       publishedVersion = state.latestVersion();
       publishedPending = state.pending() != null;
-      feed.replicas().forEach(each -> peers.send(each, updateFor(each)));
+      feed.replicas().forEach(each -> peerLink.send(each, updateFor(each)));
     }
   }
 
@@ -127,14 +127,14 @@
         && !replicatedState.hasPrepared();
     if (isReportDue && distributor.checkPrepared(now)) {
       reportAt = now + REPORT_PERIOD_MICROS;
-      peers.send(replicatedState.leader(), new PreparedReport(replicatedState.state().latestVersion()));
+      peerLink.send(replicatedState.leader(), new PreparedReport(replicatedState.state().latestVersion()));
     }
     if (now >= renewAt) {
       renewAt = now + RENEW_PERIOD_MICROS;
       PolicyState state = replicatedState.state();
       LeaseRequest request = replica != null ? replica.nextRequest(now)
           : new LeaseRequest(now, state.inForce().version(), state.latestVersion(), false);
-      peers.send(replicatedState.leader(), request);
+      peerLink.send(replicatedState.leader(), request);
     }
   }
 
@@ -195,7 +195,7 @@
   private void onLeaseRequest(String requester, LeaseRequest request) {
     int term = member.term();
     if (!isLeader() || leaderTerm != term) {
-      peers.send(requester, new Redirect(member.leader() == null || isLeader() ? null : member.leader().name()));
+      peerLink.send(requester, new Redirect(member.leader() == null || isLeader() ? null : member.leader().name()));
       return;
     }
     if (request.isReplica()) {
@@ -205,7 +205,7 @@
       boolean isStillLeader = fault == null && isLeader() && member.term() == term;
       if (isStillLeader && leaderLeases.tryGrant(requester, clock.getAsLong(), member.rollout())) {
         StateUpdate update = request.isReplica() ? updateFor(requester) : null;
-        peers.send(requester, new LeaseGrant(request.askedAt(), confirmed.getCommitIndex(), update));
+        peerLink.send(requester, new LeaseGrant(request.askedAt(), confirmed.getCommitIndex(), update));
       }
     });
   }
--- a/proxy/src/main/java/amberhoist/distribution/controller/PeerMessage.java
+++ b/proxy/src/main/java/amberhoist/distribution/controller/PeerMessage.java
@@ -34,11 +34,10 @@
    * The replicated state at a log index, for a replica.
    *
    * @param transferToInForce transfer from a document of the replica to the one in force, null if the replica has that
-   * @param transferToPending transfer from the document in force to the pending one, null if there is none or it is
-   * there
+   * @param transferToPending transfer from the document in force to the pending one, null if none is pending or
+   * the replica has it
    * @param hasPrepared whether, by the log, this replica has prepared the pending version
    */
   record StateUpdate(long index, long inForceVersion, long latestVersion, boolean isPending, Transfer transferToInForce,
-      Transfer transferToPending,
-      boolean hasPrepared) implements PeerMessage {}
+      Transfer transferToPending, boolean hasPrepared) implements PeerMessage {}
 }
--- a/proxy/src/main/java/amberhoist/group/GroupMember.java
+++ b/proxy/src/main/java/amberhoist/group/GroupMember.java
@@ -65,8 +65,7 @@
    * @param seed of the random election timeouts
    */
   public GroupMember(MemberId self, Collection<MemberId> initialMembers, RaftLog log, Rollout rollout,
-      Transport transport,
-      RaftNodeExecutor executor, Clock clock, long seed, Listener listener) {
+      Transport transport, RaftNodeExecutor executor, Clock clock, long seed, Listener listener) {
     this.rollout = rollout;
     this.log = log;
     RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId("policy").setConfig(RAFT_CONFIG).setStore(log)
@@ -258,9 +257,9 @@
       if (command.length == 0) {
         return null; // the first entry of a new term, or a linearizable query
       }
-      ChangeResult verdict = rollout.apply(command);
-      listener.onApplied(index, command, verdict);
-      return verdict;
+      ChangeResult result = rollout.apply(command);
+      listener.onApplied(index, command, result);
+      return result;
     }
 
     @Override
--- a/proxy/src/main/java/amberhoist/group/LogPayloadCodec.java
+++ b/proxy/src/main/java/amberhoist/group/LogPayloadCodec.java
@@ -57,8 +57,7 @@
 
   LogEntry entry(DataInputStream in) throws IOException {
     return modelFactory.createLogEntryBuilder().setIndex(in.readLong()).setTerm(in.readInt())
-        .setOperation(operation(in))
-        .build();
+        .setOperation(operation(in)).build();
   }
 
   void chunk(DataOutputStream out, SnapshotChunk chunk) throws IOException {
@@ -116,8 +115,8 @@
         return command;
       case MEMBERSHIP_CHANGE:
         return modelFactory.createUpdateRaftGroupMembersOpBuilder().setMembers(members(in))
-            .setVotingMembers(members(in))
-            .setEndpoint(member(in)).setMode(MembershipChangeMode.valueOf(in.readUTF())).build();
+            .setVotingMembers(members(in)).setEndpoint(member(in))
+            .setMode(MembershipChangeMode.valueOf(in.readUTF())).build();
       default:
         throw new IOException("unknown operation kind " + kind);
     }
--- a/proxy/src/main/java/amberhoist/group/RaftLog.java
+++ b/proxy/src/main/java/amberhoist/group/RaftLog.java
@@ -67,12 +67,11 @@
     switch (frame.kind()) {
       case LOCAL_ENDPOINT -> localEndpoint = LogPayloadCodec.decode(payload,
           in -> codec.modelFactory.createRaftEndpointPersistentStateBuilder()
-          .setLocalEndpoint(LogPayloadCodec.member(in))
-              .setVoting(in.readBoolean()).build());
+              .setLocalEndpoint(LogPayloadCodec.member(in)).setVoting(in.readBoolean()).build());
       case INITIAL_MEMBERS -> initialMembers = LogPayloadCodec.decode(payload, codec::membersView);
       case TERM -> term = LogPayloadCodec.decode(payload,
           in -> codec.modelFactory.createRaftTermPersistentStateBuilder()
-          .setTerm(in.readInt()).setVotedFor(LogPayloadCodec.member(in)).build());
+              .setTerm(in.readInt()).setVotedFor(LogPayloadCodec.member(in)).build());
       case ENTRY -> {
         LogEntry entry = LogPayloadCodec.decode(payload, codec::entry);
         entries.put(entry.getIndex(), entry);
--- a/proxy/src/main/java/amberhoist/rollout/Rollout.java
+++ b/proxy/src/main/java/amberhoist/rollout/Rollout.java
@@ -22,7 +22,7 @@
   private long inForceVersion;
   private String inForceDocument = "";
 
-  /** Creates the initial state, over an empty sequence of versions. */
+  /** Creates the initial state over these versions, to which no change has been applied yet. */
   public Rollout(PolicyVersions versions) {
     this.versions = versions;
   }
