--- a/lab/src/main/java/amberhoist/lab/group/GroupMutations.java
+++ b/lab/src/main/java/amberhoist/lab/group/GroupMutations.java
@@ -30,7 +30,7 @@
   }
 
   /** Returns the policy versions of a member before the first change. */
-  static PolicyVersions newSequence(GroupMutant mutant) {
+  static PolicyVersions newPolicyVersions(GroupMutant mutant) {
     return switch (mutant) {
       case TAKES_TWICE -> new PolicyVersions() {
         private int changeCount;
--- a/lab/src/main/java/amberhoist/lab/group/GroupSimulation.java
+++ b/lab/src/main/java/amberhoist/lab/group/GroupSimulation.java
@@ -361,7 +361,7 @@
       contentsAtStarts.add(disk.readAll());
       try {
         RaftLog log = new RaftLog(GroupMutations.diskAtStart(mutant, disk, contentsAtStarts));
-        Rollout rollout = new Rollout(GroupMutations.newSequence(mutant));
+        Rollout rollout = new Rollout(GroupMutations.newPolicyVersions(mutant));
         member = new GroupMember(self, allMembers, log, rollout, new FaultyTransport(ownIncarnation),
             executor(ownIncarnation), new VirtualClock(time), random.nextLong(), this);
       } catch (IOException invalid) {
--- a/proxy/src/main/java/amberhoist/core/Core.java
+++ b/proxy/src/main/java/amberhoist/core/Core.java
@@ -351,7 +351,7 @@
   }
 
   /** Restores the affinity of clients that another process served and now sends here: provider names by client key. */
-  public void bindClients(long time, Map<String, String> providerByClient) {
+  public void restoreAffinity(long time, Map<String, String> providerByClient) {
     runEvent(time, () -> balancer.restoreAffinity(events.now(), providerByClient));
   }
 
--- a/proxy/src/main/java/amberhoist/front/line/LineClientHandler.java
+++ b/proxy/src/main/java/amberhoist/front/line/LineClientHandler.java
@@ -87,10 +87,10 @@
   }
 
   @Override
-  public void rejectNewClients(long retryAfter) {
+  public void rejectNewClients(long retryAfterMicros) {
     stopping = true;
-    stopRetryAfterMicros = retryAfter;
-    transport.forEach(Role.PENDING_CLIENT, client -> reject(client, retryAfter));
+    stopRetryAfterMicros = retryAfterMicros;
+    transport.forEach(Role.PENDING_CLIENT, client -> reject(client, retryAfterMicros));
   }
 
   /** Closes a connection that is owed no answer, to free its descriptor; a client that has sent nothing is rejected. */
@@ -245,8 +245,8 @@
   }
 
   @Override
-  public void reject(Connection client, long retryAfter) {
-    answerAndFinish(client, Lines.busyLine(Math.min(retryAfter, maxRetryAfterMicros)));
+  public void reject(Connection client, long retryAfterMicros) {
+    answerAndFinish(client, Lines.busyLine(Math.min(retryAfterMicros, maxRetryAfterMicros)));
   }
 
   @Override
--- a/proxy/src/main/java/amberhoist/service/UpgradeListener.java
+++ b/proxy/src/main/java/amberhoist/service/UpgradeListener.java
@@ -36,7 +36,7 @@
 
   @Override
   public void onBindingsChanged(Map<String, String> bindings) {
-    loop.postUrgent(() -> core.bindClients(loop.now(), new HashMap<>(bindings)));
+    loop.postUrgent(() -> core.restoreAffinity(loop.now(), new HashMap<>(bindings)));
   }
 
   @Override
