--- a/proxy/src/test/java/amberhoist/decide/FleetBench.java
+++ b/proxy/src/test/java/amberhoist/decide/FleetBench.java
@@ -17,12 +17,13 @@
 import java.util.TreeMap;
 
 /**
- * Many balancers of one fleet in virtual time, with a call that all set-ups share and that answers one after the other,
- * and servers that report the load asked of them. Clients go to any balancer and come again where they are not taken.
+ * Test harness for the balancers of one fleet in virtual time. All setups call a shared store, which handles its calls
+ * one after the other, and servers report their utilization. Clients pick a balancer at random and retry after a
+ * rejection. All times are in microseconds.
  */
 final class FleetBench {
-  private static final long TICK = 20 * MS;
-  private static final long REPORT_DELAY = 30 * MS;
+  private static final long RECONNECT_MICROS = 20 * MS;
+  private static final long REPORT_DELAY_MICROS = 30 * MS;
 
   private record Event(long at, long order, Runnable task) {}
 
@@ -30,80 +31,83 @@
   private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) ->
       a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
   private final Random random = new Random(5);
-  private final long setUp;
-  private final long again;
-  private final int serverHolds;
+  private final long storeCallMicros;
+  private final long clientRetryMicros;
+  private final int connectionsPerServer;
   private final Map<String, Server> servers = new TreeMap<>();
-  private final Map<String, Integer> standing = new HashMap<>();
-  private final Map<Long, String> at = new HashMap<>(); // server of each connection that is out or stands
-  private final Map<Long, Integer> attempts = new HashMap<>();
-  private final Map<Long, String> clients = new HashMap<>();
-  private long order;
-  private long nextId;
+  private final Map<String, Integer> connectionCounts = new HashMap<>();
+  private final Map<Long, String> serverByRequest = new HashMap<>(); // of each established connection
+  private final Map<Long, Integer> attemptCounts = new HashMap<>();
+  private final Map<Long, String> clientByRequest = new HashMap<>();
+  private long nextOrder;
+  private long nextRequestId;
   private long storeFreeAt;
   long now = 1000 * S;
   int opened;
   int timedOut;
   int refused;
-  final Map<String, List<Long>> sent = new TreeMap<>(); // times, by server
+  final Map<String, List<Long>> sent = new TreeMap<>(); // times of all attempts, by server
 
   /**
-   * A fleet.
+   * Starts a fleet.
    *
-   * @param setUp micros that the shared call takes for one set-up
-   * @param again micros after which a client that was refused comes again
-   * @param serverHolds connections that fill a warm server
+   * @param count number of balancers
+   * @param storeCallMicros time that the shared store takes for one setup
+   * @param clientRetryMicros time after which a rejected client tries again
+   * @param connectionsPerServer connections at which a warm server reaches a utilization of 1
    */
-  FleetBench(int count, Settings settings, long setUp, long again, int serverHolds) {
-    this.setUp = setUp;
-    this.again = again;
-    this.serverHolds = serverHolds;
+  FleetBench(int count, Settings settings, long storeCallMicros, long clientRetryMicros,
+      int connectionsPerServer) {
+    this.storeCallMicros = storeCallMicros;
+    this.clientRetryMicros = clientRetryMicros;
+    this.connectionsPerServer = connectionsPerServer;
     for (int i = 0; i < count; i++) {
       Balancer balancer = new Policy();
       balancers.add(balancer);
-      balancer.start(now, settings, 100 + i, new Sink(balancer));
+      balancer.start(now, settings, 100 + i, new SimulatedActions(balancer));
     }
   }
 
-  /** Tells all balancers of these servers, among those they know. */
-  void change(List<Server> some) {
-    some.forEach(server -> servers.put(server.name(), server));
-    balancers.forEach(balancer -> balancer.members(now, ListKind.CHANGES, some));
+  /** Sends an update of these servers to all balancers; other known servers stay listed. */
+  void change(List<Server> changed) {
+    changed.forEach(server -> servers.put(server.name(), server));
+    balancers.forEach(balancer -> balancer.members(now, ListKind.CHANGES, changed));
   }
 
-  /** So many connections of a few groups stand on these servers, spread evenly. */
-  void stand(int count, List<String> on) {
+  /** Hands over {@code count} established connections of 20 groups, spread evenly over servers and balancers. */
+  void stand(int count, List<String> serverNames) {
     for (int i = 0; i < count; i++) {
-      String server = on.get(i % on.size());
+      String server = serverNames.get(i % serverNames.size());
       Request request = request("client" + i);
       Balancer balancer = balancers.get(i % balancers.size());
-      at.put(request.id(), server);
-      standing.merge(server, 1, Integer::sum);
+      serverByRequest.put(request.id(), server);
+      connectionCounts.merge(server, 1, Integer::sum);
       balancer.handover(now, request, server);
       balancer.load(now, request.id(), 0, 20 * MS);
     }
   }
 
-  /** A client asks any balancer, and comes again until it is taken. */
+  /** Submits a request of the client to a random balancer; after each rejection the client tries again. */
   void arrive(String client) {
     Request request = request(client);
     balancers.get(random.nextInt(balancers.size())).request(now, request);
   }
 
   private Request request(String client) {
-    long id = nextId++;
-    clients.put(id, client);
-    return new Request(id, "c", null, client, now + 1000 * MS, 0, "g" + Math.floorMod(client.hashCode(), 20), false,
-        false);
+    long id = nextRequestId++;
+    clientByRequest.put(id, client);
+    return new Request(id, "c", null, client, now + 1000 * MS, 0, "g" + Math.floorMod(client.hashCode(), 20),
+        false, false);
   }
 
+  /** Schedules a task at a time of the virtual clock; tasks of the same time run in the order of scheduling. */
   void at(long time, Runnable task) {
-    events.add(new Event(time, order++, task));
+    events.add(new Event(time, nextOrder++, task));
   }
 
-  /** Lets time pass. */
-  void pass(long time) {
-    long end = now + time;
+  /** Advances the clock by {@code micros} and runs the tasks that fall due. */
+  void pass(long micros) {
+    long end = now + micros;
     while (!events.isEmpty() && events.peek().at() <= end) {
       Event next = events.poll();
       now = Math.max(now, next.at());
@@ -112,38 +116,39 @@
     now = end;
   }
 
+  /** Number of established connections on a server. */
   int standing(String server) {
-    return standing.getOrDefault(server, 0);
+    return connectionCounts.getOrDefault(server, 0);
   }
 
-  /** The most connections that were sent to a server within any such time. */
-  int most(String server, long window) {
+  /** The highest number of attempts that were sent to a server within any period of {@code windowMicros}. */
+  int most(String server, long windowMicros) {
     List<Long> times = sent.getOrDefault(server, List.of());
-    int most = 0;
+    int max = 0;
     int from = 0;
     for (int to = 0; to < times.size(); to++) {
-      while (times.get(to) - times.get(from) >= window) {
+      while (times.get(to) - times.get(from) >= windowMicros) {
         from++;
       }
-      most = Math.max(most, to - from + 1);
+      max = Math.max(max, to - from + 1);
     }
-    return most;
+    return max;
   }
 
-  private final class Sink implements Balancer.Actions {
+  private final class SimulatedActions implements Balancer.Actions {
     private final Balancer balancer;
 
-    Sink(Balancer balancer) {
+    SimulatedActions(Balancer balancer) {
       this.balancer = balancer;
     }
 
     @Override
     public void send(long id, String server, long timeout) {
-      int attempt = attempts.merge(id, 1, Integer::sum) - 1;
+      int attempt = attemptCounts.merge(id, 1, Integer::sum) - 1;
       sent.computeIfAbsent(server, name -> new ArrayList<>()).add(now);
-      storeFreeAt = Math.max(now, storeFreeAt) + setUp; // also for who has given up by then
-      long took = storeFreeAt - now;
-      if (took > timeout) {
+      storeFreeAt = Math.max(now, storeFreeAt) + storeCallMicros; // also for attempts that time out meanwhile
+      long latency = storeFreeAt - now;
+      if (latency > timeout) {
         FleetBench.this.at(now + timeout, () -> {
           timedOut++;
           balancer.ended(now, id, attempt, Outcome.TIMED_OUT, timeout, false);
@@ -151,9 +156,9 @@
       } else {
         FleetBench.this.at(storeFreeAt, () -> {
           opened++;
-          at.put(id, server);
-          standing.merge(server, 1, Integer::sum);
-          balancer.opened(now, id, attempt, took);
+          serverByRequest.put(id, server);
+          connectionCounts.merge(server, 1, Integer::sum);
+          balancer.opened(now, id, attempt, latency);
           balancer.load(now, id, attempt, 20 * MS);
         });
       }
@@ -162,7 +167,7 @@
     @Override
     public void refuse(long id, long retryAfter) {
       refused++;
-      FleetBench.this.at(now + again, () -> arrive(clients.get(id)));
+      FleetBench.this.at(now + clientRetryMicros, () -> arrive(clientByRequest.get(id)));
     }
 
     @Override
@@ -172,25 +177,25 @@
 
     @Override
     public void move(long id) {
-      FleetBench.this.at(now + TICK, () -> {
-        standing.merge(at.remove(id), -1, Integer::sum);
+      FleetBench.this.at(now + RECONNECT_MICROS, () -> {
+        connectionCounts.merge(serverByRequest.remove(id), -1, Integer::sum);
         balancer.ended(now, id, 0, Outcome.CANCELLED, 0, true);
-        arrive(clients.get(id));
+        arrive(clientByRequest.get(id));
       });
     }
 
     @Override
     public void subscribe() {
-      // the list is told by the test
+      // the test sends the updates of the server list
     }
 
     @Override
     public void ask(String server) {
-      FleetBench.this.at(now + REPORT_DELAY, () -> balancer.report(now, server, heat(server)));
+      FleetBench.this.at(now + REPORT_DELAY_MICROS, () -> balancer.report(now, server, utilization(server)));
     }
 
-    private double heat(String server) {
-      return standing(server) / (serverHolds * warmth(servers.get(server)));
+    private double utilization(String server) {
+      return standing(server) / (connectionsPerServer * warmth(servers.get(server)));
     }
 
     @Override
@@ -204,7 +209,7 @@
     }
   }
 
-  /** A tenth of what it can do at its start, all of it after 28 s. */
+  /** The part of its capacity that a server has now: from 0.1 at its start, growing evenly to 1 after 28 s. */
   double warmth(Server server) {
     double age = server.since() == 0 ? 1 : (now - server.since()) / (28.0 * S);
     return Math.min(1, 0.1 + 0.9 * age);
