--- a/proxy/src/main/java/amberhoist/log/EventLog.java
+++ b/proxy/src/main/java/amberhoist/log/EventLog.java
@@ -14,19 +14,19 @@
 
 /**
  * Logs events through SLF4J, with their ids and fields, and limits the rate of each kind of event that clients or
- * providers can cause. Thread-safe. Once {@link #redirect} has been called, it never blocks on
+ * providers can cause. Thread-safe. Once {@link #redirectStandardError} has been called, it never blocks on
  * a slow reader.
  */
 public final class EventLog {
   private static final int MAX_TEXT_CHARS = 2000; // of a field or message, which may come from a client
-  private static BoundedOutput output;
+  private static BoundedOutputStream output;
   private static boolean json;
 
-  private final Map<Event, RateLimit> limits = new EnumMap<>(Event.class);
+  private final Map<Event, RateLimiter> limits = new EnumMap<>(Event.class);
   private final LongSupplier nanos;
   private final String instance;
   private LogSettings settings;
-  private long suppressed;
+  private long suppressedLines;
 
   /** Creates a log for an instance; {@code nanos} is the clock in nanoseconds that the rate limits use. */
   public EventLog(String instance, LogSettings settings, LongSupplier nanos) {
@@ -44,7 +44,7 @@
    * Selects the SLF4J backend of this process, before anything is logged: {@code slf4j-simple} for text, which fits the
    * smallest installation, Logback for JSON. Later calls have no effect on the backend.
    */
-  public static synchronized void choose(LogSettings.Format format) {
+  public static synchronized void selectBackend(LogSettings.Format format) {
     json = format == LogSettings.Format.JSON;
     System.setProperty("slf4j.internal.verbosity", "WARN");
     System.setProperty("slf4j.provider", json ? "ch.qos.logback.classic.spi.LogbackServiceProvider"
@@ -59,26 +59,26 @@
    *
    * @param dropLog where dropped lines are reported
    */
-  public static synchronized void redirect(int maxQueuedBytes, EventLog dropLog) {
-    output = new BoundedOutput(new FileOutputStream(FileDescriptor.err), maxQueuedBytes,
-        lines -> dropLog.tell(Event.LOG_DROPPED, "lines were dropped, standard error is read too slowly", "lines",
+  public static synchronized void redirectStandardError(int maxQueuedBytes, EventLog dropLog) {
+    output = new BoundedOutputStream(new FileOutputStream(FileDescriptor.err), maxQueuedBytes,
+        lines -> dropLog.log(Event.LOG_DROPPED, "lines were dropped, standard error is read too slowly", "lines",
             lines));
     System.setErr(new PrintStream(output, false, StandardCharsets.UTF_8));
   }
 
   /** The number of lines dropped because standard error was read too slowly. */
-  public static synchronized long dropped() {
-    return output == null ? 0 : output.dropped();
+  public static synchronized long droppedLines() {
+    return output == null ? 0 : output.droppedWrites();
   }
 
   /** Waits up to 200 ms until queued lines are written; meant for the end of the process. */
   public static void flush() {
-    BoundedOutput out;
+    BoundedOutputStream out;
     synchronized (EventLog.class) {
       out = output;
     }
     if (out != null) {
-      out.await(200);
+      out.awaitWritten(200);
     }
   }
 
@@ -87,13 +87,13 @@
     settings = newSettings;
     synchronized (EventLog.class) {
       if (output != null) {
-        output.limit(newSettings.queue());
+        output.setMaxQueuedBytes(newSettings.queueBytes());
       }
     }
   }
 
   /** Logs an event with a message; {@code fields} holds names and values alternately. */
-  public void tell(Event event, String message, Object... fields) {
+  public void log(Event event, String message, Object... fields) {
     long suppressedBefore = admit(event);
     if (suppressedBefore >= 0) {
       LoggingEventBuilder line = startLine(event, fields);
@@ -105,7 +105,7 @@
   }
 
   /** Logs an exception with its stack trace. */
-  public void fault(Event event, String message, Throwable fault) {
+  public void logException(Event event, String message, Throwable fault) {
     if (admit(event) >= 0) {
       startLine(event, "why", fault.toString()).setCause(fault).log(sanitize(message));
     }
@@ -116,32 +116,32 @@
     if (event.level().toInt() < settings.level().toInt()) {
       return -1;
     }
-    if (!event.limited()) {
+    if (!event.isRateLimited()) {
       return 0;
     }
-    RateLimit limit = limits.computeIfAbsent(event, key -> new RateLimit());
-    if (!limit.pass(nanos.getAsLong(), settings.rate(), settings.burst())) {
-      suppressed++;
+    RateLimiter limit = limits.computeIfAbsent(event, key -> new RateLimiter());
+    if (!limit.tryAcquire(nanos.getAsLong(), settings.linesPerSecond(), settings.burst())) {
+      suppressedLines++;
       return -1;
     }
     return limit.takeSuppressed();
   }
 
   /** The number of lines suppressed by rate limits so far. */
-  public synchronized long suppressed() {
-    return suppressed;
+  public synchronized long suppressedLines() {
+    return suppressedLines;
   }
 
   /** Logs the suppressed lines that have not been reported yet; to be called periodically. */
-  public void tellSuppressed() {
+  public void logSuppressed() {
     for (Event event : Event.values()) {
       long count;
       synchronized (this) {
-        RateLimit limit = limits.get(event);
+        RateLimiter limit = limits.get(event);
         count = limit == null ? 0 : limit.takeSuppressed();
       }
       if (count > 0) {
-        tell(Event.LOG_SUPPRESSED, "lines were suppressed", "of", event.id(), "lines", count);
+        log(Event.LOG_SUPPRESSED, "lines were suppressed", "of", event.id(), "lines", count);
       }
     }
   }
--- a/proxy/src/main/java/amberhoist/log/JsonLines.java
+++ b/proxy/src/main/java/amberhoist/log/JsonLines.java
@@ -25,7 +25,7 @@
   private static final class StandardErrorAppender extends AppenderBase<ILoggingEvent> {
     @Override
     protected void append(ILoggingEvent event) {
-      System.err.print(line(event));
+      System.err.print(toJsonLine(event));
     }
   }
 
@@ -40,7 +40,7 @@
     return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
   }
 
-  static String line(ILoggingEvent event) {
+  static String toJsonLine(ILoggingEvent event) {
     StringWriter text = new StringWriter();
     try (JsonGenerator out = JSON.createGenerator(text)) {
       out.writeStartObject();
--- a/proxy/src/main/java/amberhoist/log/LogSettings.java
+++ b/proxy/src/main/java/amberhoist/log/LogSettings.java
@@ -7,11 +7,11 @@
  *
  * @param format text lines or JSON lines
  * @param level the minimum level that is logged
- * @param rate lines per second for each rate-limited event
+ * @param linesPerSecond lines per second for each rate-limited event
  * @param burst lines of a rate-limited event that may come at once
- * @param queue bytes queued for a slow reader of standard error; lines beyond that are dropped and counted
+ * @param queueBytes bytes queued for a slow reader of standard error; lines beyond that are dropped and counted
  */
-public record LogSettings(Format format, Level level, int rate, int burst, int queue) {
+public record LogSettings(Format format, Level level, int linesPerSecond, int burst, int queueBytes) {
   /** The format of a line. */
   public enum Format {
     /** Plain text: fields, then the message. */
--- a/proxy/src/main/java/amberhoist/log/RateLimit.java
+++ b/proxy/src/main/java/amberhoist/log/RateLimiter.java
@@ -1,7 +1,7 @@
 package amberhoist.log;
 
 /** A token bucket that counts the suppressed events. The caller passes the time; it reads no clock. */
-final class RateLimit {
+final class RateLimiter {
   private static final double NANOS_PER_SECOND = 1e9;
 
   private double tokens;
@@ -10,7 +10,7 @@
   private long suppressed;
 
   /** Takes a token if there is one; otherwise counts a suppressed event and returns false. Rate is per second. */
-  boolean pass(long nowNanos, int rate, int burst) {
+  boolean tryAcquire(long nowNanos, int rate, int burst) {
     tokens = started ? Math.min(burst, tokens + Math.max(0, nowNanos - lastNanos) / NANOS_PER_SECOND * rate) : burst;
     started = true;
     lastNanos = Math.max(lastNanos, nowNanos);
--- a/proxy/src/main/java/amberhoist/metrics/Counters.java
+++ b/proxy/src/main/java/amberhoist/metrics/Counters.java
@@ -50,15 +50,15 @@
   }
 
   private final Map<Count, Long> counts = new EnumMap<>(Count.class);
-  private final Outcomes outcomes = new Outcomes();
+  private final SetupOutcomes setupOutcomes = new SetupOutcomes();
 
   /** The outcomes of the connections that clients requested, by class. */
-  public Outcomes outcomes() {
-    return outcomes;
+  public SetupOutcomes setupOutcomes() {
+    return setupOutcomes;
   }
 
   /** Adds one to a counter. */
-  public void add(Count count) {
+  public void increment(Count count) {
     counts.merge(count, 1L, Long::sum);
   }
 
@@ -68,7 +68,7 @@
   }
 
   /** All counters that are not zero, by their names in lower case. */
-  public Map<String, Long> all() {
+  public Map<String, Long> nonZero() {
     Map<String, Long> all = new LinkedHashMap<>();
     counts.forEach((count, value) -> all.put(count.name().toLowerCase(Locale.ROOT), value));
     return all;
@@ -78,17 +78,17 @@
    * Checks an invariant. A violation throws an {@link AssertionError} if assertions are enabled (java -ea); otherwise
    * it is counted and the proxy continues.
    */
-  public void invariant(boolean holds, String message) {
+  public void checkInvariant(boolean holds, String message) {
     assert holds : message;
     if (!holds) {
-      add(Count.BROKEN_INVARIANTS);
+      increment(Count.BROKEN_INVARIANTS);
     }
   }
 
   /** All counters that are not zero, on one line. */
   @Override
   public String toString() {
-    return all().entrySet().stream().map(e -> e.getKey() + '=' + e.getValue())
+    return nonZero().entrySet().stream().map(e -> e.getKey() + '=' + e.getValue())
         .collect(Collectors.joining(" "));
   }
 }
--- a/proxy/src/main/java/amberhoist/metrics/Latencies.java
+++ b/proxy/src/main/java/amberhoist/metrics/Latencies.java
@@ -18,15 +18,15 @@
     /** How late a tick of the event loop's timer wheel came. */
     LOOP_LAG("how late the loop's tick came");
 
-    private final String meaning;
+    private final String helpText;
 
     Span(String meaning) {
-      this.meaning = meaning;
+      this.helpText = meaning;
     }
 
     /** The help text on the metrics page. */
-    public String meaning() {
-      return meaning;
+    public String helpText() {
+      return helpText;
     }
   }
 
--- a/proxy/src/main/java/amberhoist/metrics/Outcomes.java
+++ b/proxy/src/main/java/amberhoist/metrics/SetupOutcomes.java
@@ -9,7 +9,7 @@
  * is either in setup or has one outcome, which is counted once. Classes that are not in the settings are not counted,
  * so that misbehaving clients cannot make the table grow. Confined to the event loop's thread.
  */
-public final class Outcomes {
+public final class SetupOutcomes {
   /** How the setup of a connection ended. */
   public enum Outcome {
     /** Established: the provider answered UP. */
@@ -23,17 +23,17 @@
   private long attempts;
 
   /** Adds classes to count; counts of earlier classes stay. */
-  public void classes(Collection<String> names) {
+  public void addClasses(Collection<String> names) {
     names.forEach(name -> countsByClass.computeIfAbsent(name, key -> new long[1 + Outcome.values().length]));
   }
 
   /** Counts a connection of this class that a client requested. */
-  public void taken(String type) {
+  public void countRequested(String type) {
     increment(type, 0);
   }
 
   /** Counts the end of a setup; to be called once for each requested connection. */
-  public void ended(String type, Outcome outcome) {
+  public void countEnded(String type, Outcome outcome) {
     increment(type, 1 + outcome.ordinal());
   }
 
@@ -45,7 +45,7 @@
   }
 
   /** Counts an attempt whose open request was completely written to a provider. */
-  public void attempted() {
+  public void countAttempt() {
     attempts++;
   }
 
@@ -55,12 +55,12 @@
   }
 
   /** The number of requested connections, by class. */
-  public Map<String, Long> takenByClass() {
+  public Map<String, Long> requestedByClass() {
     return column(0);
   }
 
   /** The number of connections with this outcome, by class. */
-  public Map<String, Long> byClass(Outcome outcome) {
+  public Map<String, Long> endedByClass(Outcome outcome) {
     return column(1 + outcome.ordinal());
   }
 
@@ -71,7 +71,7 @@
   }
 
   /** The number of connections in setup. */
-  public long settingUp() {
+  public long setupsInFlight() {
     return countsByClass.values().stream().mapToLong(counts -> counts[0] - counts[1] - counts[2] - counts[3]).sum();
   }
 }
--- a/proxy/src/main/java/amberhoist/mgmt/Figures.java
+++ b/proxy/src/main/java/amberhoist/mgmt/ManagementMetrics.java
@@ -15,16 +15,16 @@
  * @param failed failed requests, by class
  * @param attempts attempts whose line has been written completely
  * @param inFlight invocations that have started and not ended
- * @param known listed providers
- * @param excluded listed providers that get no new requests, suspended by an operator or excluded
+ * @param knownProviders listed providers
+ * @param excludedProviders listed providers that get no new requests, suspended by an operator or excluded
  *     by the balancer
  */
-public record Figures(Map<String, Long> served, Map<String, Long> refused, Map<String, Long> failed,
-    long attempts, long inFlight, long known, long excluded) {
+public record ManagementMetrics(Map<String, Long> served, Map<String, Long> refused, Map<String, Long> failed,
+    long attempts, long inFlight, long knownProviders, long excludedProviders) {
   private static final JsonFactory JSON = new JsonFactory();
 
   /** The metrics as one line of JSON. */
-  public String json() {
+  public String toJson() {
     StringWriter text = new StringWriter();
     try (JsonGenerator out = JSON.createGenerator(text)) {
       out.writeStartObject();
@@ -33,8 +33,8 @@
       writeCounts(out, "failed", failed);
       out.writeNumberField("attempts", attempts);
       out.writeNumberField("in_flight", inFlight);
-      out.writeNumberField("viewer_hosts_known", known);
-      out.writeNumberField("viewer_hosts_excluded", excluded);
+      out.writeNumberField("viewer_hosts_known", knownProviders);
+      out.writeNumberField("viewer_hosts_excluded", excludedProviders);
       out.writeEndObject();
     } catch (IOException fault) {
       throw new UncheckedIOException(fault);
--- a/proxy/src/main/java/amberhoist/mgmt/Call.java
+++ b/proxy/src/main/java/amberhoist/mgmt/ManagementRequest.java
@@ -8,4 +8,4 @@
  * @param method the HTTP method, such as {@code GET}
  * @param path the segments of the path, percent-decoded, without the query
  */
-public record Call(String method, List<String> path) {}
+public record ManagementRequest(String method, List<String> path) {}
--- a/proxy/src/main/java/amberhoist/mgmt/ManagementServer.java
+++ b/proxy/src/main/java/amberhoist/mgmt/ManagementServer.java
@@ -22,7 +22,7 @@
   /** The maximum number of connections at once; above it the oldest is closed. */
   static final int MAX_CONNECTIONS = 24;
   /** The maximum number of descriptors: the connections, the listener, and the group's poller with its wake-up pair. */
-  public static final int DESCRIPTORS = MAX_CONNECTIONS + 5;
+  public static final int MAX_DESCRIPTORS = MAX_CONNECTIONS + 5;
 
   private static final long REQUEST_TIMEOUT_MILLIS = 6_000; // for a whole request; legitimate clients may take seconds
   private static final long LINGER_TIMEOUT_MILLIS = 1_000; // for a write, and for the client to close its side
@@ -31,7 +31,7 @@
   /** A connection from a client of the management API. */
   private final class Client {
     final AsynchronousSocketChannel channel;
-    final CallParser parser = new CallParser();
+    final RequestParser parser = new RequestParser();
     final ByteBuffer in = ByteBuffer.allocate(1024);
     final long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REQUEST_TIMEOUT_MILLIS);
     ByteBuffer out;
@@ -176,25 +176,25 @@
 
   private void onRead(Client client, int bytes) {
     if (bytes < 0) {
-      client.parser.ended();
+      client.parser.onEndOfInput();
     } else {
-      client.parser.take(client.in.flip());
+      client.parser.feed(client.in.flip());
     }
-    if (!client.parser.done()) {
+    if (!client.parser.isDone()) {
       read(client);
       return;
     }
     client.discardedBytes = client.in.remaining();
-    if (client.parser.fault() != null) {
-      respond(client, client.parser.fault());
+    if (client.parser.errorResponse() != null) {
+      respond(client, client.parser.errorResponse());
     } else {
-      routes.answer(client.parser.call()).whenComplete((response, fault) -> respond(client, fault == null ? response
-          : Answer.no(503, "Service Unavailable", String.valueOf(fault.getMessage()))));
+      routes.handle(client.parser.request()).whenComplete((response, fault) -> respond(client, fault == null ? response
+          : ManagementResponse.error(503, "Service Unavailable", String.valueOf(fault.getMessage()))));
     }
   }
 
-  private void respond(Client client, Answer response) {
-    client.out = ByteBuffer.wrap(response.bytes());
+  private void respond(Client client, ManagementResponse response) {
+    client.out = ByteBuffer.wrap(response.encode());
     write(client);
   }
 
--- a/proxy/src/main/java/amberhoist/mgmt/CallParser.java
+++ b/proxy/src/main/java/amberhoist/mgmt/RequestParser.java
@@ -10,25 +10,25 @@
  * An incremental parser for the head of one HTTP/1.1 request (RFC 9112). Headers are checked for their form and
  * otherwise ignored; a body is left in the buffer for the caller.
  */
-public final class CallParser {
+public final class RequestParser {
   /** The maximum length of a head in bytes; a longer one gets status 431. */
-  public static final int LONGEST = 8192;
+  public static final int MAX_HEAD_BYTES = 8192;
 
-  private final byte[] head = new byte[LONGEST];
+  private final byte[] head = new byte[MAX_HEAD_BYTES];
   private int length;
   private int lineStart;
   private String method;
   private List<String> path;
-  private Call call;
-  private Answer fault;
+  private ManagementRequest request;
+  private ManagementResponse errorResponse;
 
   /** Parses received bytes up to the end of the head; leaves the rest in the buffer. */
-  public void take(ByteBuffer in) {
-    while (in.hasRemaining() && !done()) {
+  public void feed(ByteBuffer in) {
+    while (in.hasRemaining() && !isDone()) {
       byte next = in.get();
-      if (length == LONGEST) {
-        fault = Answer.no(431, "Request Header Fields Too Large",
-            "the head is longer than " + LONGEST + " bytes");
+      if (length == MAX_HEAD_BYTES) {
+        errorResponse = ManagementResponse.error(431, "Request Header Fields Too Large",
+            "the head is longer than " + MAX_HEAD_BYTES + " bytes");
         return;
       }
       head[length++] = next;
@@ -39,25 +39,25 @@
   }
 
   /** The client has closed its side of the connection. */
-  public void ended() {
-    if (!done()) {
+  public void onEndOfInput() {
+    if (!isDone()) {
       badRequest("the request is incomplete");
     }
   }
 
   /** Whether a request has been parsed or found invalid. */
-  public boolean done() {
-    return call != null || fault != null;
+  public boolean isDone() {
+    return request != null || errorResponse != null;
   }
 
   /** The request, or null if it is invalid or not yet complete. */
-  public Call call() {
-    return fault == null ? call : null;
+  public ManagementRequest request() {
+    return errorResponse == null ? request : null;
   }
 
   /** The error response to an invalid request, else null. */
-  public Answer fault() {
-    return fault;
+  public ManagementResponse errorResponse() {
+    return errorResponse;
   }
 
   private void parseLine() {
@@ -70,7 +70,7 @@
         parseRequestLine(line);
       }
     } else if (line.isEmpty()) {
-      call = new Call(method, path);
+      request = new ManagementRequest(method, path);
     } else if (line.indexOf(':') < 1 || !isToken(line.substring(0, line.indexOf(':')))) {
       badRequest("invalid header name");
     }
@@ -131,6 +131,6 @@
   }
 
   private void badRequest(String message) {
-    fault = Answer.no(400, "Bad Request", message);
+    errorResponse = ManagementResponse.error(400, "Bad Request", message);
   }
 }
--- a/proxy/src/main/java/amberhoist/net/Acceptor.java
+++ b/proxy/src/main/java/amberhoist/net/Acceptor.java
@@ -14,7 +14,7 @@
 public final class Acceptor {
   private static final long BACKLOG_GRACE_MICROS = 20_000; // time to accept the backlog before closing
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final DescriptorBudget descriptors;
   private final Counters counters;
   private final Consumer<AsynchronousSocketChannel> front;
@@ -27,7 +27,7 @@
     @Override
     public void completed(AsynchronousSocketChannel channel, Void none) {
       loop.run(() -> {
-        counters.add(Count.ACCEPTED);
+        counters.increment(Count.ACCEPTED);
         front.accept(channel);
         accept();
       });
@@ -38,7 +38,7 @@
       if (server.isOpen()) {
         // Usually out of descriptors: accepting must resume later.
         loop.run(() -> {
-          counters.add(Count.ACCEPT_FAILED);
+          counters.increment(Count.ACCEPT_FAILED);
           paused = true;
           scheduleAccept();
         });
@@ -47,7 +47,7 @@
   };
 
   /** Creates an acceptor that passes accepted channels to a front. */
-  public Acceptor(Loop loop, DescriptorBudget descriptors, Counters counters, SocketLimits limits,
+  public Acceptor(EventLoop loop, DescriptorBudget descriptors, Counters counters, SocketLimits limits,
       Consumer<AsynchronousSocketChannel> front) {
     this.loop = loop;
     this.descriptors = descriptors;
@@ -62,8 +62,8 @@
   }
 
   /** Starts to listen and accept; if {@code shared}, other processes may listen on the same address. */
-  public void open(InetSocketAddress listen, boolean shared) throws IOException {
-    server = AsynchronousServerSocketChannel.open(loop.group());
+  public void listen(InetSocketAddress listen, boolean shared) throws IOException {
+    server = AsynchronousServerSocketChannel.open(loop.channelGroup());
     server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
     server.setOption(StandardSocketOptions.SO_REUSEPORT, shared);
     try {
@@ -83,19 +83,19 @@
    * Leaves the address to another process that listens on it: accepts the whole backlog, even when descriptors run
    * short, and then closes. Connections still in the backlog at the close would be reset.
    */
-  public void leave() {
+  public void acceptBacklogAndClose() {
     closing = true;
     if (paused) {
       accept();
     }
-    loop.wheel().arm(loop.now() + BACKLOG_GRACE_MICROS, now -> close());
+    loop.timerWheel().arm(loop.now() + BACKLOG_GRACE_MICROS, now -> close());
   }
 
   private void accept() {
     if (!server.isOpen()) {
       return;
     }
-    paused = !closing && !descriptors.room(1);
+    paused = !closing && !descriptors.makeRoom(1);
     if (!paused) {
       server.accept(null, acceptHandler);
     } else {
@@ -104,7 +104,7 @@
   }
 
   private void scheduleAccept() {
-    loop.wheel().arm(loop.now() + limits.acceptPause(), now -> {
+    loop.timerWheel().arm(loop.now() + limits.acceptPauseMicros(), now -> {
       if (paused) {
         accept();
       }
--- a/proxy/src/main/java/amberhoist/net/Connection.java
+++ b/proxy/src/main/java/amberhoist/net/Connection.java
@@ -1,7 +1,7 @@
 package amberhoist.net;
 
 import amberhoist.core.SlotTable;
-import amberhoist.core.Wheel.Timer;
+import amberhoist.core.TimerWheel.Timer;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.AsynchronousSocketChannel;
@@ -12,7 +12,7 @@
   /** The purpose of a connection. */
   public enum Role {
     /** From a client that has not sent its open request yet. */
-    NEW,
+    PENDING_CLIENT,
     /** From a client whose invocation is pending, has an attempt in flight, or is established with a provider. */
     CLIENT,
     /** To a provider. */
@@ -22,40 +22,40 @@
   private static final int INITIAL_BUFFER_BYTES = 512;
 
   final AsynchronousSocketChannel channel;
-  final Handler handler;
-  final ArrayDeque<ByteBuffer> queue = new ArrayDeque<>();
-  long number;
+  final ConnectionHandler handler;
+  final ArrayDeque<ByteBuffer> outputQueue = new ArrayDeque<>();
+  long id;
   Role role;
-  long invocation = SlotTable.NONE;
-  long peer = SlotTable.NONE;
+  long invocationId = SlotTable.NONE;
+  long peerId = SlotTable.NONE;
   Object attachment;
-  ByteBuffer in = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
-  int scanned; // bytes at the start of the buffer known to contain no line end
-  int queued;
-  int discarded; // bytes received after the final answer
-  long linger;
+  ByteBuffer inputBuffer = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
+  int scannedBytes; // bytes at the start of the buffer known to contain no line end
+  int queuedBytes;
+  int discardedBytes; // bytes received after the final answer
+  long lingerMicros;
   boolean connected;
   boolean reading;
   boolean writing;
-  boolean unwritable; // a write has failed; input that the peer sent before is still read
-  boolean joined;
+  boolean writeFailed; // a write has failed; input that the peer sent before is still read
+  boolean relaying;
   /** The queue is being flushed before the sending side is ended; further input is discarded. */
   boolean finishing;
-  boolean finished; // FIN has been sent
+  boolean outputEnded; // FIN has been sent
   boolean inputEnded;
-  Runnable written; // runs once the queue has been written; may be null
+  Runnable onWritten; // runs once the queue has been written; may be null
   Timer timer;
 
-  Connection(AsynchronousSocketChannel channel, Role role, Handler handler, long linger) {
+  Connection(AsynchronousSocketChannel channel, Role role, ConnectionHandler handler, long linger) {
     this.channel = channel;
     this.role = role;
     this.handler = handler;
-    this.linger = linger;
+    this.lingerMicros = linger;
   }
 
   /** The id of this connection in the table of connections. */
-  public long number() {
-    return number;
+  public long id() {
+    return id;
   }
 
   /** The purpose of this connection. */
@@ -64,28 +64,28 @@
   }
 
   /** The handler of the protocol spoken on this connection. */
-  public Handler handler() {
+  public ConnectionHandler handler() {
     return handler;
   }
 
   /** The id of the invocation that this connection belongs to, or {@link SlotTable#NONE}. */
-  public long invocation() {
-    return invocation;
+  public long invocationId() {
+    return invocationId;
   }
 
   /** Sets the id of the invocation that this connection belongs to. */
-  public void invocation(long newInvocationId) {
-    invocation = newInvocationId;
+  public void invocationId(long newInvocationId) {
+    invocationId = newInvocationId;
   }
 
   /** The id of the connection that lines are relayed to, or {@link SlotTable#NONE}. */
-  public long peer() {
-    return peer;
+  public long peerId() {
+    return peerId;
   }
 
   /** Whether lines are relayed between this connection and its peer. */
-  public boolean joined() {
-    return joined;
+  public boolean relaying() {
+    return relaying;
   }
 
   /** Whether this connection is being ended, so that further input is discarded. */
@@ -94,8 +94,8 @@
   }
 
   /** The number of bytes received and not yet consumed. */
-  public int pending() {
-    return in.position();
+  public int bufferedBytes() {
+    return inputBuffer.position();
   }
 
   /** The state that the protocol handler keeps for this connection, initially null. */
@@ -109,8 +109,8 @@
   }
 
   /** Overrides how many microseconds to wait for the peer to end its side after FIN has been sent. */
-  public void linger(long micros) {
-    linger = micros;
+  public void lingerMicros(long micros) {
+    lingerMicros = micros;
   }
 
   /** Sets the timer of this connection and cancels the previous one; null only cancels. */
@@ -127,27 +127,27 @@
    * @param maxLength the maximum length of a line in bytes, line end included
    * @throws IOException if a line is longer
    */
-  public byte[] line(int maxLength) throws IOException {
-    int end = in.position();
-    for (int i = scanned; i < end; i++) {
-      if (in.get(i) == '\n') {
+  public byte[] pollLine(int maxLength) throws IOException {
+    int end = inputBuffer.position();
+    for (int i = scannedBytes; i < end; i++) {
+      if (inputBuffer.get(i) == '\n') {
         if (i >= maxLength) {
           throw new IOException("line exceeds the maximum length");
         }
         byte[] line = new byte[i + 1];
-        in.flip().get(line);
-        in.compact();
-        scanned = 0;
+        inputBuffer.flip().get(line);
+        inputBuffer.compact();
+        scannedBytes = 0;
         return line;
       }
     }
-    scanned = end;
+    scannedBytes = end;
     if (end >= maxLength) {
       throw new IOException("line exceeds the maximum length");
     }
-    if (!in.hasRemaining()) {
-      ByteBuffer larger = ByteBuffer.allocate(Math.min(2 * in.capacity(), maxLength));
-      in = larger.put(in.flip());
+    if (!inputBuffer.hasRemaining()) {
+      ByteBuffer larger = ByteBuffer.allocate(Math.min(2 * inputBuffer.capacity(), maxLength));
+      inputBuffer = larger.put(inputBuffer.flip());
     }
     return null;
   }
--- a/proxy/src/main/java/amberhoist/net/DescriptorBudget.java
+++ b/proxy/src/main/java/amberhoist/net/DescriptorBudget.java
@@ -32,30 +32,30 @@
   }
 
   /** Sets the maximum number of descriptors; connections served beyond it are kept. */
-  public void limit(int newMaximum) {
+  public void setLimit(int newMaximum) {
     maxDescriptors = newMaximum;
   }
 
   /** A connection has been accepted. */
-  void arrived(Connection connection) {
+  void onAccepted(Connection connection) {
     awaitingRequest.add(connection);
   }
 
   /** A client has sent bytes before its open request; makes idle clients be evicted before slow ones. */
-  void heard(Connection connection) {
+  void onInput(Connection connection) {
     if (awaitingRequest.remove(connection)) {
       awaitingRequest.add(connection);
     }
   }
 
   /** A connection now serves an invocation: a client after its open request, or a connection to a provider. */
-  void taken(Connection connection) {
+  void onAssigned(Connection connection) {
     awaitingRequest.remove(connection);
     count(connection, 1);
   }
 
   /** A connection is being ended and is held until its peer ends it too. */
-  void ends(Connection connection) {
+  void onFinishing(Connection connection) {
     if (!awaitingRequest.remove(connection)) {
       count(connection, -1);
     }
@@ -63,7 +63,7 @@
   }
 
   /** A connection has been closed. */
-  void left(Connection connection) {
+  void onClosed(Connection connection) {
     if (!finishing.remove(connection) && !awaitingRequest.remove(connection)) {
       count(connection, -1);
     }
@@ -78,7 +78,7 @@
   }
 
   /** Evicts connections until the given number of further descriptors is available; false if it cannot be reached. */
-  public boolean room(int additional) {
+  public boolean makeRoom(int additional) {
     while (held() + additional > maxDescriptors) {
       Iterator<Connection> oldest = (finishing.isEmpty() ? awaitingRequest : finishing).iterator();
       if (!oldest.hasNext()) {
@@ -90,7 +90,7 @@
   }
 
   /** Whether the connections being served leave too few descriptors to accept and answer further clients. */
-  public boolean crowded() {
+  public boolean isNearlyExhausted() {
     return descriptorsServed() + SPARE_DESCRIPTORS > maxDescriptors;
   }
 
--- a/proxy/src/main/java/amberhoist/net/DirectoryWatch.java
+++ b/proxy/src/main/java/amberhoist/net/DirectoryWatch.java
@@ -2,10 +2,10 @@
 
 import amberhoist.core.Core;
 import amberhoist.core.SlotTable;
-import amberhoist.core.Wheel.Timer;
-import amberhoist.decide.Balancer.ListKind;
-import amberhoist.directory.AddressBook;
-import amberhoist.directory.News;
+import amberhoist.core.TimerWheel.Timer;
+import amberhoist.decide.Balancer.ListUpdateKind;
+import amberhoist.directory.DirectoryUpdate;
+import amberhoist.directory.ProviderRegistry;
 import amberhoist.directory.WatchParser;
 import amberhoist.metrics.Counters;
 import amberhoist.metrics.Counters.Count;
@@ -40,28 +40,28 @@
   }
 
   /** Receives the faults of the watch, to log them. */
-  public interface Faults {
+  public interface Listener {
     /** A watch has failed; the next one starts after the given pause in milliseconds. */
-    void failed(String why, long pause);
+    void onWatchFailed(String reason, long pauseMillis);
 
     /** The entries of these providers could not be read; their previous entries remain valid. */
-    void unread(Set<String> providers);
+    void onUnreadableEntries(Set<String> providers);
   }
 
   private interface Completion<V> {
     void complete(Watch watch, V result) throws IOException;
   }
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Core core;
-  private final AddressBook registry;
+  private final ProviderRegistry registry;
   private final Counters counters;
   private InetSocketAddress address;
   private final Random random;
   private final SlotTable<Watch> watches = new SlotTable<>();
   private long currentId = SlotTable.NONE;
   private long index;
-  private final Faults listener;
+  private final Listener listener;
   private WatchTiming timing;
   private long pauseMicros;
   private Timer timer;
@@ -74,14 +74,14 @@
   /**
    * Creates a watch on the directory at the given address, from the given version of the list on.
    */
-  public DirectoryWatch(Loop loop, Core core, AddressBook registry, Counters counters, WatchTiming timing,
-      InetSocketAddress address, long index, long seed, Faults listener) {
+  public DirectoryWatch(EventLoop loop, Core core, ProviderRegistry registry, Counters counters, WatchTiming timing,
+      InetSocketAddress address, long index, long seed, Listener listener) {
     this.loop = loop;
     this.core = core;
     this.registry = registry;
     this.timing = timing;
     this.listener = listener;
-    pauseMicros = timing.pause();
+    pauseMicros = timing.initialPauseMicros();
     this.counters = counters;
     this.address = address;
     this.index = index;
@@ -112,7 +112,7 @@
   }
 
   /** Starts a watch unless one is running or scheduled. */
-  public void ensure() {
+  public void ensureWatching() {
     if (currentId == SlotTable.NONE && timer == null && !closed) {
       start();
     }
@@ -127,13 +127,13 @@
    * Switches immediately to a directory at another address. The current list remains valid until the new directory
    * replaces it; the whole list is requested, since the new directory may number its versions differently.
    */
-  public void move(InetSocketAddress to) {
-    if (to.equals(address) || closed) {
+  public void changeAddress(InetSocketAddress newAddress) {
+    if (newAddress.equals(address) || closed) {
       return;
     }
-    address = to;
+    address = newAddress;
     index = 0;
-    pauseMicros = timing.pause(); // the back-off caused by the old address must not delay the new one
+    pauseMicros = timing.initialPauseMicros(); // the back-off caused by the old address must not delay the new one
     if (timer != null) {
       timer.cancel();
       timer = null;
@@ -144,15 +144,15 @@
   }
 
   private void start() {
-    counters.add(Count.DIRECTORY_WATCHES);
+    counters.increment(Count.DIRECTORY_WATCHES);
     try {
-      Watch watch = new Watch(AsynchronousSocketChannel.open(loop.group()));
+      Watch watch = new Watch(AsynchronousSocketChannel.open(loop.channelGroup()));
       long watchId = watches.add(watch);
       currentId = watchId;
       String host = address.getAddress().getHostAddress() + ':' + address.getPort();
       watch.request = ByteBuffer.wrap(("GET /v1/servers?follow=1&since=" + index + " HTTP/1.1\r\nHost: " + host
           + "\r\nAccept: application/json\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
-      armSilenceTimer(timing.firstAnswer(), watchId);
+      armSilenceTimer(timing.firstLineTimeoutMicros(), watchId);
       watch.channel.connect(address, watchId, connectHandler);
     } catch (IOException fault) {
       scheduleNext(fault.toString());
@@ -163,7 +163,7 @@
     if (timer != null) {
       timer.cancel();
     }
-    timer = loop.wheel().arm(loop.now() + micros, now -> onBroken(watchId, "no complete line within the timeout"));
+    timer = loop.timerWheel().arm(loop.now() + micros, now -> onBroken(watchId, "no complete line within the timeout"));
   }
 
   private void writeOrRead(Watch watch) {
@@ -182,17 +182,17 @@
     watch.buffer.flip();
     List<byte[]> lines = new ArrayList<>();
     try {
-      watch.parser.take(watch.buffer, lines::add);
+      watch.parser.feed(watch.buffer, lines::add);
     } finally {
       for (byte[] line : lines) {
         onLine(line);
       }
     }
     if (!lines.isEmpty()) { // only complete lines extend the timeout: a line might never end
-      armSilenceTimer(timing.silence(), watchId);
+      armSilenceTimer(timing.silenceTimeoutMicros(), watchId);
     }
     watch.buffer.clear();
-    if (watch.parser.ended()) {
+    if (watch.parser.isEnded()) {
       throw new IOException("response ended");
     }
     if (currentId == watchId) {
@@ -202,22 +202,23 @@
 
   private void onLine(byte[] line) throws IOException {
     if (line.length == 0) {
-      pauseMicros = timing.pause();
+      pauseMicros = timing.initialPauseMicros();
       return;
     }
-    News update = News.parse(line, loop.clock());
-    if (!update.whole() && update.index() < index) {
+    DirectoryUpdate update = DirectoryUpdate.parse(line, loop.clock());
+    if (!update.snapshot() && update.index() < index) {
       index = 0; // the next watch requests the whole list, so that old changes undo no newer ones
       throw new IOException("index is lower than that of the previous update");
     }
-    pauseMicros = timing.pause();
-    counters.add(Count.DIRECTORY_NEWS);
+    pauseMicros = timing.initialPauseMicros();
+    counters.increment(Count.DIRECTORY_NEWS);
     index = update.index();
-    if (!update.unread().isEmpty()) {
-      counters.add(Count.DIRECTORY_UNREAD);
-      listener.unread(update.unread());
+    if (!update.unreadable().isEmpty()) {
+      counters.increment(Count.DIRECTORY_UNREAD);
+      listener.onUnreadableEntries(update.unreadable());
     }
-    core.directory(loop.now(), update.whole() ? ListKind.FULL : ListKind.CHANGES, registry.update(update));
+    core.onDirectoryUpdate(loop.now(), update.snapshot() ? ListUpdateKind.FULL : ListUpdateKind.CHANGES,
+        registry.update(update));
   }
 
   private void onBroken(long watchId, String reason) {
@@ -242,18 +243,18 @@
   /** Notifies the listener and the balancer, and schedules the next watch; the current list remains valid. */
   private void scheduleNext(String reason) {
     currentId = SlotTable.NONE;
-    counters.add(Count.DIRECTORY_FAILURES);
+    counters.increment(Count.DIRECTORY_FAILURES);
     long delayMicros = pauseMicros + (long) (random.nextDouble() * pauseMicros);
-    pauseMicros = Math.min(2 * pauseMicros, timing.pauseMost());
-    listener.failed(reason, delayMicros / 1000);
+    pauseMicros = Math.min(2 * pauseMicros, timing.maxPauseMicros());
+    listener.onWatchFailed(reason, delayMicros / 1000);
     if (timer != null) {
       timer.cancel();
     }
-    timer = loop.wheel().arm(loop.now() + delayMicros, now -> {
+    timer = loop.timerWheel().arm(loop.now() + delayMicros, now -> {
       timer = null;
       start();
     });
-    core.directory(loop.now(), ListKind.FAILED, List.of());
+    core.onDirectoryUpdate(loop.now(), ListUpdateKind.FAILED, List.of());
   }
 
   /** Stops watching permanently. */
--- a/proxy/src/main/java/amberhoist/net/Loop.java
+++ b/proxy/src/main/java/amberhoist/net/EventLoop.java
@@ -1,7 +1,7 @@
 package amberhoist.net;
 
 import amberhoist.clock.Clock;
-import amberhoist.core.Wheel;
+import amberhoist.core.TimerWheel;
 import java.io.IOException;
 import java.nio.channels.AsynchronousChannelGroup;
 import java.util.ArrayDeque;
@@ -16,17 +16,17 @@
  * The single thread that runs the core and the decision module. I/O completions of the channel group and ticks of the
  * timer wheel run as tasks on it; no task may block.
  */
-public final class Loop {
+public final class EventLoop {
   /** Tick of the timer wheel in microseconds: well below the 50 ms by which a socket timeout may be late. */
-  public static final long TICK = 4_000;
+  public static final long TICK_MICROS = 4_000;
 
   /** A tick later than this indicates a stall; below 0.1 s, after which nothing may start for a disconnected client. */
-  private static final long STALL_MICROS = 5 * TICK;
+  private static final long STALL_MICROS = 5 * TICK_MICROS;
 
   private final Clock clock = new Clock();
-  private final Wheel wheel = new Wheel(TICK, clock.now());
+  private final TimerWheel timerWheel = new TimerWheel(TICK_MICROS, clock.now());
   private final ScheduledThreadPoolExecutor executor;
-  private final AsynchronousChannelGroup group;
+  private final AsynchronousChannelGroup channelGroup;
   private final ArrayDeque<Runnable> readyTasks = new ArrayDeque<>();
   private final Queue<Runnable> urgentTasks = new ConcurrentLinkedQueue<>();
   private boolean running;
@@ -42,13 +42,13 @@
    * @param faultHandler receives every exception or error that a task throws
    * @param lagListener receives at each tick by how many microseconds it was late
    */
-  public Loop(Consumer<Throwable> faultHandler, LongConsumer lagListener) throws IOException {
+  public EventLoop(Consumer<Throwable> faultHandler, LongConsumer lagListener) throws IOException {
     this.faultHandler = faultHandler;
     this.lagListener = lagListener;
     executor = new ScheduledThreadPoolExecutor(1, task -> new Thread(null, task, "loop", 1 << 18)); // 256 KiB of stack
     executor.setRemoveOnCancelPolicy(true);
-    group = AsynchronousChannelGroup.withThreadPool(executor);
-    executor.scheduleWithFixedDelay(() -> run(this::tick), TICK, TICK, TimeUnit.MICROSECONDS);
+    channelGroup = AsynchronousChannelGroup.withThreadPool(executor);
+    executor.scheduleWithFixedDelay(() -> run(this::tick), TICK_MICROS, TICK_MICROS, TimeUnit.MICROSECONDS);
   }
 
   /**
@@ -57,11 +57,11 @@
    */
   private void tick() {
     long now = clock.now();
-    long delayMicros = Math.max(0, now - lastTick - TICK);
+    long delayMicros = Math.max(0, now - lastTick - TICK_MICROS);
     lagListener.accept(delayMicros);
     stalled = delayMicros > STALL_MICROS && !stalled;
     if (!stalled) {
-      wheel.advance(now);
+      timerWheel.advance(now);
     }
     lastTick = clock.now();
   }
@@ -70,7 +70,7 @@
    * Queues a task ahead of all other tasks; may be called from any thread. Keeps operators' requests from waiting
    * behind a backlog of client input.
    */
-  public void ahead(Runnable task) {
+  public void postUrgent(Runnable task) {
     urgentTasks.add(task);
     post(() -> { });
   }
@@ -109,12 +109,12 @@
   }
 
   /** The number of urgent tasks queued. */
-  public int waitingAhead() {
+  public int urgentTaskCount() {
     return urgentTasks.size();
   }
 
   /** The number of tasks queued, including the next tick. */
-  public int waiting() {
+  public int queuedTaskCount() {
     return executor.getQueue().size();
   }
 
@@ -129,19 +129,19 @@
   }
 
   /** The timer wheel that holds all deadlines. */
-  public Wheel wheel() {
-    return wheel;
+  public TimerWheel timerWheel() {
+    return timerWheel;
   }
 
   /** The group in which channels are opened. */
-  public AsynchronousChannelGroup group() {
-    return group;
+  public AsynchronousChannelGroup channelGroup() {
+    return channelGroup;
   }
 
   /** Closes all channels and stops the thread. */
   public void close() {
     try {
-      group.shutdownNow();
+      channelGroup.shutdownNow();
     } catch (IOException fault) {
       faultHandler.accept(fault);
     }
--- a/proxy/src/main/java/amberhoist/net/Resets.java
+++ b/proxy/src/main/java/amberhoist/net/ResetOnClose.java
@@ -14,13 +14,13 @@
  * asynchronous channels do not support, so it is set by reflection on internal classes. That requires
  * {@code --add-opens java.base/sun.nio.ch}, which the manifest of the jar contains; without it, connections end by FIN.
  */
-final class Resets {
+final class ResetOnClose {
   private static final Integer ZERO_LINGER_SECONDS = 0;
   private static Field descriptorField;
   private static Object unspecifiedFamily;
   private static final Method SET_SOCKET_OPTION = resolveSetSocketOption();
 
-  private Resets() {}
+  private ResetOnClose() {}
 
   private static Method resolveSetSocketOption() {
     try {
@@ -35,14 +35,14 @@
       descriptorField.setAccessible(true);
       return set;
     } catch (ReflectiveOperationException | RuntimeException fault) {
-      LoggerFactory.getLogger(Resets.class)
+      LoggerFactory.getLogger(ResetOnClose.class)
           .warn("cannot set SO_LINGER; connections will end by FIN instead of RST: {}", fault.toString());
       return null;
     }
   }
 
   /** Makes the next close of this channel send RST. */
-  static void arm(AsynchronousSocketChannel channel) {
+  static void enable(AsynchronousSocketChannel channel) {
     if (SET_SOCKET_OPTION != null && channel.isOpen()) {
       try {
         SET_SOCKET_OPTION.invoke(null, descriptorField.get(channel), unspecifiedFamily, StandardSocketOptions.SO_LINGER,
--- a/proxy/src/main/java/amberhoist/net/Transport.java
+++ b/proxy/src/main/java/amberhoist/net/Transport.java
@@ -14,29 +14,29 @@
 
 /**
  * The table of connections and the operations on them: reading, writing queued bytes, closing gracefully or by a
- * reset. It knows no protocol and passes all events to the {@link Handler} of the connection. Everything
+ * reset. It knows no protocol and passes all events to the {@link ConnectionHandler} of the connection. Everything
  * runs on the event loop's thread.
  *
  * <p>Two connections that relay lines to each other exert backpressure: while too many bytes wait to be written to one
  * of them, the other is not read.
  */
 public final class Transport {
-  private final Loop loop;
+  private final EventLoop loop;
   private final DescriptorBudget descriptors;
   private SocketLimits limits;
   private final SlotTable<Connection> connections = new SlotTable<>();
 
   private final CompletionHandler<Void, Long> connectHandler = completion((connection, none) -> {
     connection.connected = true;
-    connection.handler.connected(connection);
-  }, this::broken);
+    connection.handler.onConnected(connection);
+  }, this::onBroken);
   private final CompletionHandler<Integer, Long> readHandler = completion((connection, bytes) -> {
     connection.reading = false;
     onRead(connection, bytes);
-  }, this::broken);
+  }, this::onBroken);
   private final CompletionHandler<Integer, Long> writeHandler = completion((connection, bytes) -> {
     connection.writing = false;
-    connection.queued -= bytes;
+    connection.queuedBytes -= bytes;
     write(connection);
   }, this::onWriteFailed);
 
@@ -45,7 +45,7 @@
   }
 
   /** Creates a transport on this event loop that accounts for its descriptors in this budget. */
-  public Transport(Loop loop, DescriptorBudget descriptors, SocketLimits limits) {
+  public Transport(EventLoop loop, DescriptorBudget descriptors, SocketLimits limits) {
     this.loop = loop;
     this.descriptors = descriptors;
     this.limits = limits;
@@ -61,21 +61,21 @@
     return new CompletionHandler<>() {
       @Override
       public void completed(V result, Long id) {
-        loop.run(() -> on(id, connection -> onCompleted.complete(connection, result)));
+        loop.run(() -> ifPresent(id, connection -> onCompleted.complete(connection, result)));
       }
 
       @Override
       public void failed(Throwable fault, Long id) {
-        loop.run(() -> on(id, onFailed));
+        loop.run(() -> ifPresent(id, onFailed));
       }
     };
   }
 
   /** Registers an accepted connection; the caller sets it up and then starts reading. */
-  public Connection accepted(AsynchronousSocketChannel channel, Handler handler) {
-    Connection connection = new Connection(channel, Role.NEW, handler, limits.linger());
-    connection.number = connections.add(connection);
-    descriptors.arrived(connection);
+  public Connection registerAccepted(AsynchronousSocketChannel channel, ConnectionHandler handler) {
+    Connection connection = new Connection(channel, Role.PENDING_CLIENT, handler, limits.lingerMicros());
+    connection.id = connections.add(connection);
+    descriptors.onAccepted(connection);
     connection.connected = true;
     setNoDelay(connection);
     return connection;
@@ -86,11 +86,11 @@
    *
    * @throws IOException if no socket can be opened or connected
    */
-  public Connection dial(InetSocketAddress address, long invocation, Connection client, Handler handler)
+  public Connection connect(InetSocketAddress address, long invocationId, Connection client, ConnectionHandler handler)
       throws IOException {
     Connection connection = openToProvider(handler);
-    connection.invocation = invocation;
-    connection.peer = client.number;
+    connection.invocationId = invocationId;
+    connection.peerId = client.id;
     return startConnect(connection, address);
   }
 
@@ -99,24 +99,24 @@
    *
    * @throws IOException if no socket can be opened or connected
    */
-  public Connection dial(InetSocketAddress address, Handler handler) throws IOException {
+  public Connection connect(InetSocketAddress address, ConnectionHandler handler) throws IOException {
     return startConnect(openToProvider(handler), address);
   }
 
-  private Connection openToProvider(Handler handler) throws IOException {
-    AsynchronousSocketChannel channel = AsynchronousSocketChannel.open(loop.group());
-    Connection connection = new Connection(channel, Role.PROVIDER, handler, limits.linger());
-    connection.number = connections.add(connection);
-    descriptors.taken(connection);
+  private Connection openToProvider(ConnectionHandler handler) throws IOException {
+    AsynchronousSocketChannel channel = AsynchronousSocketChannel.open(loop.channelGroup());
+    Connection connection = new Connection(channel, Role.PROVIDER, handler, limits.lingerMicros());
+    connection.id = connections.add(connection);
+    descriptors.onAssigned(connection);
     setNoDelay(connection);
     return connection;
   }
 
   private Connection startConnect(Connection connection, InetSocketAddress address) throws IOException {
     try {
-      connection.channel.connect(address, connection.number, connectHandler);
+      connection.channel.connect(address, connection.id, connectHandler);
     } catch (RuntimeException fault) {
-      drop(connection); // the address is invalid for a connect
+      closeNow(connection); // the address is invalid for a connect
       throw new IOException(fault.toString(), fault);
     }
     return connection;
@@ -131,9 +131,9 @@
   }
 
   /** Marks a connection as that of a client that has sent its open request, and counts it as served. */
-  public void taken(Connection connection) {
+  public void markAsClient(Connection connection) {
     connection.role = Role.CLIENT;
-    descriptors.taken(connection);
+    descriptors.onAssigned(connection);
   }
 
   /** The connection with this id, or null if it is closed. */
@@ -142,7 +142,7 @@
   }
 
   /** Runs the action on the connection with this id; does nothing if it is closed. */
-  public void on(long id, Consumer<Connection> action) {
+  public void ifPresent(long id, Consumer<Connection> action) {
     Connection connection = connections.get(id);
     if (connection != null) {
       action.accept(connection);
@@ -152,7 +152,7 @@
   /** Runs the action on each connection of this role that is not being ended. */
   public void forEach(Role role, Consumer<Connection> action) {
     List<Connection> matching = new ArrayList<>(); // a copy, since the action may remove connections
-    connections.forEach(id -> on(id, connection -> {
+    connections.forEach(id -> ifPresent(id, connection -> {
       if (connection.role == role && !connection.finishing) {
         matching.add(connection);
       }
@@ -166,90 +166,90 @@
   }
 
   /** Whether this connection is still open. */
-  public boolean holds(Connection connection) {
-    return connections.get(connection.number) == connection;
+  public boolean contains(Connection connection) {
+    return connections.get(connection.id) == connection;
   }
 
   /** Starts to relay lines between client and provider; backpressure applies, and when one ends, the other does too. */
-  public void join(Connection client, Connection provider) {
-    client.peer = provider.number;
-    client.joined = true;
-    provider.joined = true;
+  public void relay(Connection client, Connection provider) {
+    client.peerId = provider.id;
+    client.relaying = true;
+    provider.relaying = true;
   }
 
   /** Starts a read unless one is in progress, input is no longer wanted, or the peer's queue exerts backpressure. */
   public void read(Connection connection) {
-    Connection peer = connections.get(connection.peer);
-    boolean backpressure = connection.joined && !connection.finishing
-        && peer != null && peer.queued > limits.queue();
-    boolean inputWanted = connection.discarded <= limits.discard();
-    if (!connection.reading && !connection.inputEnded && !backpressure && inputWanted && holds(connection)) {
+    Connection peer = connections.get(connection.peerId);
+    boolean backpressure = connection.relaying && !connection.finishing
+        && peer != null && peer.queuedBytes > limits.maxQueuedBytes();
+    boolean inputWanted = connection.discardedBytes <= limits.maxDiscardedBytes();
+    if (!connection.reading && !connection.inputEnded && !backpressure && inputWanted && contains(connection)) {
       connection.reading = true;
-      connection.channel.read(connection.in, connection.number, readHandler);
+      connection.channel.read(connection.inputBuffer, connection.id, readHandler);
     }
   }
 
   private void onRead(Connection connection, int bytes) {
     if (bytes < 0) {
       connection.inputEnded = true;
-      if (connection.unwritable) {
-        broken(connection); // the failed write has consumed the socket error that this read would have reported
+      if (connection.writeFailed) {
+        onBroken(connection); // the failed write has consumed the socket error that this read would have reported
       } else if (!connection.finishing) {
-        connection.handler.inputEnded(connection);
-      } else if (connection.finished) {
-        drop(connection);
+        connection.handler.onInputEnded(connection);
+      } else if (connection.outputEnded) {
+        closeNow(connection);
       }
       return;
     }
-    if (connection.role == Role.NEW) {
-      descriptors.heard(connection);
+    if (connection.role == Role.PENDING_CLIENT) {
+      descriptors.onInput(connection);
     }
     if (connection.finishing) {
-      connection.in.clear(); // input after the final answer is discarded
-      connection.scanned = 0;
-      connection.discarded += bytes;
+      connection.inputBuffer.clear(); // input after the final answer is discarded
+      connection.scannedBytes = 0;
+      connection.discardedBytes += bytes;
     } else {
-      connection.handler.input(connection);
+      connection.handler.onInput(connection);
     }
     read(connection);
   }
 
   /** Queues bytes to be written; ignored on a connection that is being ended or cannot be written. */
   public void send(Connection connection, byte[] bytes) {
-    if (!connection.finishing && !connection.unwritable) {
-      connection.queue.add(ByteBuffer.wrap(bytes));
-      connection.queued += bytes.length;
+    if (!connection.finishing && !connection.writeFailed) {
+      connection.outputQueue.add(ByteBuffer.wrap(bytes));
+      connection.queuedBytes += bytes.length;
       write(connection);
     }
   }
 
   /** Queues bytes to be written, and runs {@code onWritten} once the queue has been written. */
   public void send(Connection connection, byte[] bytes, Runnable onWritten) {
-    connection.written = onWritten;
+    connection.onWritten = onWritten;
     send(connection, bytes);
   }
 
   /** Continues to write the queue; a channel allows one write at a time. */
   private void write(Connection connection) {
-    while (!connection.queue.isEmpty() && !connection.queue.peek().hasRemaining()) {
-      connection.queue.remove();
+    while (!connection.outputQueue.isEmpty() && !connection.outputQueue.peek().hasRemaining()) {
+      connection.outputQueue.remove();
     }
-    if (connection.writing || !connection.connected || !holds(connection)) {
+    if (connection.writing || !connection.connected || !contains(connection)) {
       return;
     }
-    if (!connection.queue.isEmpty()) {
+    if (!connection.outputQueue.isEmpty()) {
       connection.writing = true;
-      connection.channel.write(connection.queue.peek(), connection.number, writeHandler);
-    } else if (connection.written != null) {
-      Runnable callback = connection.written;
-      connection.written = null;
+      connection.channel.write(connection.outputQueue.peek(), connection.id, writeHandler);
+    } else if (connection.onWritten != null) {
+      Runnable callback = connection.onWritten;
+      connection.onWritten = null;
       callback.run();
-    } else if (connection.finishing && !connection.finished) {
-      connection.finished = true;
+    } else if (connection.finishing && !connection.outputEnded) {
+      connection.outputEnded = true;
       endOutput(connection);
     }
-    Connection peer = connections.get(connection.peer);
-    if (peer != null && connection.queued <= limits.queue()) {
+    Connection peer = connections.get(connection.peerId);
+    if (peer != null && connection.queuedBytes <= limits.maxQueuedBytes()) {
       read(peer);
     }
   }
@@ -258,53 +258,53 @@
     try {
       connection.channel.shutdownOutput();
     } catch (IOException fault) {
-      drop(connection);
+      closeNow(connection);
       return;
     }
     if (connection.inputEnded) {
-      drop(connection);
+      closeNow(connection);
     } else {
-      connection.timer(loop.wheel().arm(loop.now() + connection.linger, now -> drop(connection)));
+      connection.timer(loop.timerWheel().arm(loop.now() + connection.lingerMicros, now -> closeNow(connection)));
     }
   }
 
   /** Closes a connection gracefully: writes the queue, sends FIN, then waits briefly for the peer to end its side. */
   public void finish(Connection connection) {
-    if (connection.unwritable) {
-      drop(connection); // nothing can be written any more
-    } else if (!connection.finishing && holds(connection)) {
+    if (connection.writeFailed) {
+      closeNow(connection); // nothing can be written any more
+    } else if (!connection.finishing && contains(connection)) {
       connection.finishing = true;
-      descriptors.ends(connection);
-      connection.handler.released(connection);
-      long timeoutMicros = 2 * limits.linger(); // for a peer that does not read
-      connection.timer(loop.wheel().arm(loop.now() + timeoutMicros, now -> drop(connection)));
+      descriptors.onFinishing(connection);
+      connection.handler.onReleased(connection);
+      long timeoutMicros = 2 * limits.lingerMicros(); // for a peer that does not read
+      connection.timer(loop.timerWheel().arm(loop.now() + timeoutMicros, now -> closeNow(connection)));
       write(connection);
       read(connection);
     }
   }
 
   /** Closes a connection immediately, discarding its queue. */
-  public void drop(Connection connection) {
-    if (holds(connection)) {
-      connections.remove(connection.number);
-      descriptors.left(connection);
-      connection.handler.released(connection);
+  public void closeNow(Connection connection) {
+    if (contains(connection)) {
+      connections.remove(connection.id);
+      descriptors.onClosed(connection);
+      connection.handler.onReleased(connection);
       connection.close();
     }
   }
 
   /** Closes a connection immediately by a reset. */
   public void reset(Connection connection) {
-    Resets.arm(connection.channel);
-    drop(connection);
+    ResetOnClose.enable(connection.channel);
+    closeNow(connection);
   }
 
   /** Handles a connection that broke, could not be established, or received invalid input. */
-  public void broken(Connection connection) {
+  public void onBroken(Connection connection) {
     if (connection.finishing) {
-      drop(connection); // already being ended; the queue of its peer must still be written
+      closeNow(connection); // already being ended; the queue of its peer must still be written
     } else {
-      connection.handler.broken(connection);
+      connection.handler.onBroken(connection);
     }
   }
 
@@ -314,20 +314,20 @@
    */
   private void onWriteFailed(Connection connection) {
     if (connection.finishing || connection.inputEnded) {
-      broken(connection);
+      onBroken(connection);
       return;
     }
-    connection.unwritable = true;
-    connection.queue.clear();
-    connection.queued = 0;
+    connection.writeFailed = true;
+    connection.outputQueue.clear();
+    connection.queuedBytes = 0;
     // the timer ends the connection even if backpressure prevents reading
-    connection.timer(loop.wheel().arm(loop.now() + limits.linger() / 2, now -> broken(connection)));
+    connection.timer(loop.timerWheel().arm(loop.now() + limits.lingerMicros() / 2, now -> onBroken(connection)));
     read(connection);
-    on(connection.peer, this::read); // the queue is empty, so backpressure ends
+    ifPresent(connection.peerId, this::read); // the queue is empty, so backpressure ends
   }
 
   /** Closes all connections immediately. */
-  public void close() {
-    connections.forEach(id -> on(id, this::drop));
+  public void closeAll() {
+    connections.forEach(id -> ifPresent(id, this::closeNow));
   }
 }
--- a/proxy/src/main/java/amberhoist/net/WatchTiming.java
+++ b/proxy/src/main/java/amberhoist/net/WatchTiming.java
@@ -6,14 +6,14 @@
  * <p>The directory regards a change as known after 6 s. An unanswered request, the longest pause and one second for the
  * answer to the next request must together take less than that.
  *
- * @param silence time without a complete line after which the watch fails; one is due every 2 s
- * @param firstAnswer time from request to first complete line; the directory may queue requests
- * @param pause before the next watch after the first failure; doubled by each further failure, plus up to
+ * @param silenceTimeoutMicros time without a complete line after which the watch fails; one is due every 2 s
+ * @param firstLineTimeoutMicros time from request to first complete line; the directory may queue requests
+ * @param initialPauseMicros before the next watch after the first failure; doubled by each further failure, plus up to
  *     100 % jitter
- * @param pauseMost maximum of the doubled pause, before jitter
+ * @param maxPauseMicros maximum of the doubled pause, before jitter
  */
-public record WatchTiming(long silence, long firstAnswer, long pause,
-    long pauseMost) {
+public record WatchTiming(long silenceTimeoutMicros, long firstLineTimeoutMicros, long initialPauseMicros,
+    long maxPauseMicros) {
   /** The default timing. */
   public static final WatchTiming DEFAULT = new WatchTiming(3_000_000, 4_000_000, 100_000, 500_000);
 }
--- /dev/null
+++ b/proxy/src/main/java/amberhoist/service/LoggingTelemetry.java
@@ -0,0 +1,58 @@
+package amberhoist.service;
+
+import amberhoist.core.Telemetry;
+import amberhoist.decide.Balancer.Outcome;
+import amberhoist.log.Event;
+import amberhoist.log.EventLog;
+import amberhoist.metrics.Latencies;
+import amberhoist.metrics.Latencies.Span;
+import amberhoist.net.DirectoryWatch;
+import java.util.Locale;
+import java.util.Set;
+
+/** Records the core's telemetry in the log and the latency histograms. */
+final class LoggingTelemetry implements Telemetry {
+  private final EventLog log;
+  private final Latencies latencies;
+
+  LoggingTelemetry(EventLog log, Latencies latencies) {
+    this.log = log;
+    this.latencies = latencies;
+  }
+
+  @Override
+  public void onAttemptEnded(long invocation, String provider, Outcome outcome, long micros) {
+    latencies.record(Span.CALL, micros);
+    log.log(Event.CALL_ENDED, "an attempt ended", "invocation", invocation, "provider", provider, "outcome",
+        outcome == null ? "up" : lowerCaseName(outcome), "micros", micros);
+  }
+
+  @Override
+  public void onAnswered(long invocation, Answer answer, long micros) {
+    latencies.record(answer == Answer.UP ? Span.SETUP : Span.TURNED_AWAY, micros);
+    log.log(Event.INVOCATION_ANSWERED, "an invocation got its final answer", "invocation", invocation, "outcome",
+        lowerCaseName(answer), "micros", micros);
+  }
+
+  @Override
+  public void onSilentProvider(long invocation, String provider) {
+    log.log(Event.PROVIDER_SILENT, "the provider is silent", "invocation", invocation, "provider", provider);
+  }
+
+  /** Logs failures of the directory watch. */
+  record DirectoryFaultLog(EventLog log) implements DirectoryWatch.Listener {
+    @Override
+    public void onWatchFailed(String why, long pause) {
+      log.log(Event.DIRECTORY_FAILED, "the directory watch failed", "why", why, "pause_ms", pause);
+    }
+
+    @Override
+    public void onUnreadableEntries(Set<String> providers) {
+      log.log(Event.DIRECTORY_UNREAD, "cannot read directory entries", "providers", String.join(",", providers));
+    }
+  }
+
+  private static String lowerCaseName(Enum<?> constant) {
+    return constant.name().toLowerCase(Locale.ROOT);
+  }
+}
--- a/proxy/src/main/java/amberhoist/service/ManagementActions.java
+++ b/proxy/src/main/java/amberhoist/service/LoopOperations.java
@@ -2,16 +2,16 @@
 
 import amberhoist.core.Core;
 import amberhoist.decide.Balancer.Server;
-import amberhoist.directory.AddressBook;
+import amberhoist.directory.ProviderRegistry;
 import amberhoist.log.Event;
 import amberhoist.log.EventLog;
 import amberhoist.metrics.Counters;
-import amberhoist.metrics.Outcomes;
-import amberhoist.metrics.Outcomes.Outcome;
-import amberhoist.mgmt.Figures;
-import amberhoist.mgmt.Operations;
-import amberhoist.net.Loop;
-import amberhoist.upgrade.Succession;
+import amberhoist.metrics.SetupOutcomes;
+import amberhoist.metrics.SetupOutcomes.Outcome;
+import amberhoist.mgmt.ManagementMetrics;
+import amberhoist.mgmt.ManagementOperations;
+import amberhoist.net.EventLoop;
+import amberhoist.upgrade.UpgradeCoordinator;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -20,14 +20,14 @@
 import java.util.function.Supplier;
 
 /** Runs the operations of the management API on the loop's thread, which owns the state that they read and change. */
-final class ManagementActions implements Operations {
-  private final Loop loop;
+final class LoopOperations implements ManagementOperations {
+  private final EventLoop loop;
   private final Core core;
-  private final AddressBook addresses;
+  private final ProviderRegistry addresses;
   private final Counters counters;
   private final BooleanSupplier stopping;
   private final EventLog log;
-  private final Succession coordinator;
+  private final UpgradeCoordinator coordinator;
 
   /**
    * Creates the operations on this core.
@@ -35,8 +35,8 @@
    * @param stopping whether the proxy is stopping; called on the loop's thread
    * @param coordinator shares suspensions with the other processes of an upgrade; null if there can be none
    */
-  ManagementActions(Loop loop, Core core, AddressBook addresses, Counters counters, BooleanSupplier stopping,
-      EventLog log, Succession coordinator) {
+  LoopOperations(EventLoop loop, Core core, ProviderRegistry addresses, Counters counters, BooleanSupplier stopping,
+      EventLog log, UpgradeCoordinator coordinator) {
     this.loop = loop;
     this.core = core;
     this.addresses = addresses;
@@ -48,7 +48,7 @@
 
   private <T> CompletableFuture<T> runOnLoop(Supplier<T> query) {
     CompletableFuture<T> result = new CompletableFuture<>();
-    loop.ahead(() -> {
+    loop.postUrgent(() -> {
       try {
         result.complete(query.get());
       } catch (RuntimeException fault) {
@@ -59,61 +59,61 @@
   }
 
   @Override
-  public CompletableFuture<String> unready() {
+  public CompletableFuture<String> notReadyReason() {
     return runOnLoop(() -> stopping.getAsBoolean() ? "the proxy is stopping"
-        : addresses.listed().isEmpty() ? "it has no list of viewer hosts" : "");
+        : addresses.listedProviders().isEmpty() ? "it has no list of viewer hosts" : "");
   }
 
   /** Whether this provider is known: the directory lists it, or it was suspended and has left the directory since. */
   private boolean isKnown(String provider) {
     return core.suspended().contains(provider)
-        || addresses.listed().stream().anyMatch(server -> server.name().equals(provider));
+        || addresses.listedProviders().stream().anyMatch(server -> server.name().equals(provider));
   }
 
   @Override
-  public CompletableFuture<Verdict> suspend(String provider) {
+  public CompletableFuture<ChangeResult> suspend(String provider) {
     return changeSuspension(provider, true, Event.PROVIDER_SUSPENDED, "suspended by an operator");
   }
 
   @Override
-  public CompletableFuture<Verdict> resume(String provider) {
+  public CompletableFuture<ChangeResult> resume(String provider) {
     return changeSuspension(provider, false, Event.PROVIDER_RESUMED, "resumed by an operator");
   }
 
   /** Stores the change before applying it: a change that was reported as done must survive an upgrade. */
-  private CompletableFuture<Verdict> changeSuspension(String provider, boolean suspended, Event event,
+  private CompletableFuture<ChangeResult> changeSuspension(String provider, boolean suspended, Event event,
       String message) {
     return runOnLoop(() -> isKnown(provider))
         .thenCompose(known -> known ? applySuspension(provider, suspended).thenApply(done -> {
           if (done) {
-            log.tell(event, message, "provider", provider);
+            log.log(event, message, "provider", provider);
           }
-          return done ? Verdict.DONE : Verdict.NOT_KEPT;
-        }) : CompletableFuture.completedFuture(Verdict.UNKNOWN));
+          return done ? ChangeResult.DONE : ChangeResult.NOT_STORED;
+        }) : CompletableFuture.completedFuture(ChangeResult.UNKNOWN_PROVIDER));
   }
 
   private CompletableFuture<Boolean> applySuspension(String provider, boolean suspended) {
     if (coordinator != null) {
-      return coordinator.suspend(provider, suspended);
+      return coordinator.setSuspended(provider, suspended);
     }
     return runOnLoop(() -> {
       Set<String> names = new HashSet<>(core.suspended());
       if (suspended ? names.add(provider) : names.remove(provider)) {
-        core.suspend(loop.now(), names);
+        core.setSuspended(loop.now(), names);
       }
       return true;
     });
   }
 
   @Override
-  public CompletableFuture<Figures> figures() {
+  public CompletableFuture<ManagementMetrics> metrics() {
     return runOnLoop(() -> {
-      Outcomes outcomes = counters.outcomes();
-      List<Server> listed = addresses.listed();
+      SetupOutcomes outcomes = counters.setupOutcomes();
+      List<Server> listed = addresses.listedProviders();
       long now = loop.now();
-      return new Figures(outcomes.byClass(Outcome.SERVED), outcomes.byClass(Outcome.REFUSED),
-          outcomes.byClass(Outcome.FAILED), outcomes.attempts(), core.size(), listed.size(),
-          listed.stream().filter(server -> core.avoids(now, server.name())).count());
+      return new ManagementMetrics(outcomes.endedByClass(Outcome.SERVED), outcomes.endedByClass(Outcome.REFUSED),
+          outcomes.endedByClass(Outcome.FAILED), outcomes.attempts(), core.invocationCount(), listed.size(),
+          listed.stream().filter(server -> core.isExcluded(now, server.name())).count());
     });
   }
 }
--- a/proxy/src/main/java/amberhoist/service/Service.java
+++ b/proxy/src/main/java/amberhoist/service/Service.java
@@ -11,10 +11,10 @@
 import amberhoist.core.Core;
 import amberhoist.decide.Balancer.RequestClass;
 import amberhoist.decide.Policy;
-import amberhoist.directory.AddressBook;
-import amberhoist.front.Switchboard;
-import amberhoist.front.line.LineClients;
-import amberhoist.front.line.LineProviders;
+import amberhoist.directory.ProviderRegistry;
+import amberhoist.front.CommandDispatcher;
+import amberhoist.front.line.LineClientHandler;
+import amberhoist.front.line.LineProviderHandler;
 import amberhoist.log.Event;
 import amberhoist.log.EventLog;
 import amberhoist.metrics.Counters;
@@ -27,9 +27,9 @@
 import amberhoist.net.Connection;
 import amberhoist.net.DescriptorBudget;
 import amberhoist.net.DirectoryWatch;
-import amberhoist.net.Loop;
+import amberhoist.net.EventLoop;
 import amberhoist.net.Transport;
-import amberhoist.upgrade.Succession;
+import amberhoist.upgrade.UpgradeCoordinator;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
@@ -52,14 +52,14 @@
   private static final int OWN_DESCRIPTORS = 24; // 12 of the JVM and its channel group, two directory watches, a file
   private static final int MIN_DESCRIPTORS = 18;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final EventLog log;
   private final Counters counters = new Counters();
   private final Latencies latencies = new Latencies();
-  private final AddressBook addresses = new AddressBook();
+  private final ProviderRegistry addresses = new ProviderRegistry();
   private final DescriptorBudget descriptors = new DescriptorBudget(this::evict);
   private final Transport transport;
-  private final LineClients clients;
+  private final LineClientHandler clients;
   private final Acceptor acceptor;
   private final Core core;
   private final DirectoryWatch directory;
@@ -68,7 +68,7 @@
   private volatile Setup setup;
   private volatile AdminSocket admin;
   private volatile ManagementServer managementServer;
-  private volatile Succession coordinator;
+  private volatile UpgradeCoordinator coordinator;
   private int otherDescriptors; // held by the other processes of this proxy; loop thread only
   private List<String> restartNeeded = List.of(); // loop thread only
   private boolean stopping; // loop thread only
@@ -80,22 +80,22 @@
     Config config = setup.config();
     Operator operator = setup.operator();
     log = new EventLog(config.name(), operator.logSettings());
-    loop = new Loop(fault -> log.fault(Event.LOOP_FAULT, "a task on the loop failed", fault),
+    loop = new EventLoop(fault -> log.logException(Event.LOOP_FAULT, "a task on the loop failed", fault),
         lagMicros -> latencies.record(Span.LOOP_LAG, lagMicros));
     transport = new Transport(loop, descriptors, operator.socketLimits());
-    clients = new LineClients(loop, transport, descriptors, counters, log);
-    LineProviders providers = new LineProviders(loop, transport, counters, addresses, (provider, fault) ->
-        log.tell(Event.PROVIDER_UNDIALLED, "cannot connect", "provider", provider, "why", fault));
-    acceptor = new Acceptor(loop, descriptors, counters, operator.socketLimits(), clients::accepted);
-    Switchboard switchboard = new Switchboard(transport, providers, this::ensureDirectoryWatch,
-        message -> log.tell(Event.MODULE_SAID, message));
-    core = new Core(new Policy(), loop.wheel(), switchboard, counters, config.limits(), operator.timing(),
-        new Telling(log, latencies));
+    clients = new LineClientHandler(loop, transport, descriptors, counters, log);
+    LineProviderHandler providers = new LineProviderHandler(loop, transport, counters, addresses, (provider, fault) ->
+        log.log(Event.PROVIDER_UNDIALLED, "cannot connect", "provider", provider, "why", fault));
+    acceptor = new Acceptor(loop, descriptors, counters, operator.socketLimits(), clients::onAccepted);
+    CommandDispatcher switchboard = new CommandDispatcher(transport, providers, this::ensureDirectoryWatch,
+        message -> log.log(Event.MODULE_SAID, message));
+    core = new Core(new Policy(), loop.timerWheel(), switchboard, counters, config.limits(), operator.timing(),
+        new LoggingTelemetry(log, latencies));
     discovery = config.discovery();
     directory = new DirectoryWatch(loop, core, addresses, counters, operator.watchTiming(), discovery,
-        config.known().index(), config.seed(), new Telling.Directory(log));
-    clients.wire(core);
-    providers.wire(core);
+        config.known().index(), config.seed(), new LoggingTelemetry.DirectoryFaultLog(log));
+    clients.setCore(core);
+    providers.setCore(core);
     applyLimits(setup);
   }
 
@@ -104,20 +104,21 @@
   }
 
   private void ensureDirectoryWatch() {
-    directory.ensure();
+    directory.ensureWatching();
   }
 
   private void applyLimits(Setup newSetup) {
-    int reserved = OWN_DESCRIPTORS + (newSetup.config().mgmt() == null ? 0 : ManagementServer.DESCRIPTORS);
+    int reserved = OWN_DESCRIPTORS + (newSetup.config().mgmt() == null ? 0 : ManagementServer.MAX_DESCRIPTORS);
     int limit = newSetup.config().sockets();
     limit = otherDescriptors == 0 ? limit // during an upgrade each process may take half of what none holds yet
         : reserved + descriptors.held() + Math.max(0, limit - otherDescriptors - reserved - descriptors.held()) / 2;
-    descriptors.limit(Math.max(MIN_DESCRIPTORS, limit - reserved));
+    descriptors.setLimit(Math.max(MIN_DESCRIPTORS, limit - reserved));
     if (coordinator != null) {
-      coordinator.holds(reserved + descriptors.held());
+      coordinator.setHeldDescriptors(reserved + descriptors.held());
     }
-    counters.outcomes().classes(newSetup.config().settings().classes().stream().map(RequestClass::name).toList());
-    clients.limits(newSetup.operator().lineLimits(), newSetup.config().settings().maxRetryAfter());
+    counters.setupOutcomes().addClasses(newSetup.config().settings().requestClasses().stream().map(RequestClass::name)
+        .toList());
+    clients.limits(newSetup.operator().lineLimits(), newSetup.config().settings().maxRetryAfterMicros());
   }
 
   /** Starts a proxy with the platform's configuration and default operator settings; returns when it listens. */
@@ -134,7 +135,7 @@
       try {
         service.addresses.update(config.known());
         service.core.start(service.loop.now(), config.settings(), config.seed(), config.known().providers());
-        service.directory.ensure();
+        service.directory.ensureWatching();
         coreStarted.complete(null);
       } catch (RuntimeException fault) {
         coreStarted.completeExceptionally(fault);
@@ -146,7 +147,7 @@
       service.joinOtherProcesses();
       service.loop.post(() -> {
         try {
-          service.acceptor.open(config.listen(), config.mgmt() != null);
+          service.acceptor.listen(config.listen(), config.mgmt() != null);
           service.servingSinceMicros = service.loop.now();
           service.logSuppressed();
           listening.complete(null);
@@ -156,12 +157,12 @@
       });
       listening.get();
       if (service.coordinator != null) {
-        service.coordinator.ready().join(); // before the process reports that it serves
+        service.coordinator.markReady().join(); // before the process reports that it serves
       }
       service.startAdminSocket();
       service.startManagementServer();
       InetSocketAddress address = service.address();
-      service.log.tell(Event.PROXY_SERVES, config.name() + " serves on " + address, "address", address);
+      service.log.log(Event.PROXY_SERVES, config.name() + " serves on " + address, "address", address);
       return service;
     } catch (InterruptedException | ExecutionException | IOException fault) {
       service.kill();
@@ -176,11 +177,11 @@
     if (config.mgmt() == null || config.shared() == null) {
       return;
     }
-    coordinator = new Succession(config.shared(), new Sharing(loop, core, descriptors -> {
+    coordinator = new UpgradeCoordinator(config.shared(), new UpgradeListener(loop, core, descriptors -> {
       otherDescriptors = descriptors;
       applyLimits(setup);
-    }), reason -> log.tell(Event.UPGRADE_FAILED, "cannot read or store the upgrade record", "why", reason));
-    coordinator.holds(OWN_DESCRIPTORS + ManagementServer.DESCRIPTORS);
+    }), reason -> log.log(Event.UPGRADE_FAILED, "cannot read or store the upgrade record", "why", reason));
+    coordinator.setHeldDescriptors(OWN_DESCRIPTORS + ManagementServer.MAX_DESCRIPTORS);
     coordinator.join();
   }
 
@@ -197,20 +198,20 @@
     InetSocketAddress address = setup.config().mgmt();
     if (address != null) {
       managementServer = new ManagementServer(address,
-          new Routes(new ManagementActions(loop, core, addresses, counters, () -> stopping, log, coordinator)),
-          fault -> log.tell(Event.DOOR_FAILED, "cannot accept a connection", "why", fault));
-      log.tell(Event.DOOR_LISTENS, "the management API listens", "address", managementServer.address());
+          new Routes(new LoopOperations(loop, core, addresses, counters, () -> stopping, log, coordinator)),
+          fault -> log.log(Event.DOOR_FAILED, "cannot accept a connection", "why", fault));
+      log.log(Event.DOOR_LISTENS, "the management API listens", "address", managementServer.address());
     }
   }
 
   /** The address of the management API, or null if there is none. */
-  public InetSocketAddress doorAddress() throws IOException {
+  public InetSocketAddress managementAddress() throws IOException {
     return managementServer == null ? null : managementServer.address();
   }
 
   private void logSuppressed() {
-    log.tellSuppressed();
-    loop.wheel().arm(loop.now() + SUPPRESSED_PERIOD_MICROS, at -> logSuppressed());
+    log.logSuppressed();
+    loop.timerWheel().arm(loop.now() + SUPPRESSED_PERIOD_MICROS, at -> logSuppressed());
   }
 
   /** The address that clients connect to. */
@@ -239,9 +240,9 @@
       task = () -> apply(newSetup);
     } catch (BadConfig fault) {
       task = () -> {
-        counters.add(Count.RELOADS_REFUSED);
+        counters.increment(Count.RELOADS_REFUSED);
         fault.problems().forEach(problem ->
-            log.tell(Event.CONFIG_REFUSED, "the configuration stays as it was: " + problem, "why", problem));
+            log.log(Event.CONFIG_REFUSED, "the configuration stays as it was: " + problem, "why", problem));
       };
     }
     try {
@@ -253,7 +254,7 @@
 
   /** Applies a setup in a single task on the loop's thread, so that no other task sees it half applied. */
   private void apply(Setup newSetup) {
-    counters.add(Count.RELOADS);
+    counters.increment(Count.RELOADS);
     restartNeeded = Setup.needRestart(setup.operator(), newSetup.operator());
     Setup old = setup;
     Operator operator = newSetup.operator();
@@ -264,29 +265,29 @@
     directory.timing(operator.watchTiming());
     core.configure(loop.now(), newSetup.config().settings(), newSetup.config().limits(), operator.timing());
     discovery = newSetup.config().discovery();
-    directory.move(discovery);
+    directory.changeAddress(discovery);
     log.configure(operator.logSettings());
-    log.tell(Event.CONFIG_RELOADED, "configuration read again, directory at " + discovery, "directory", discovery);
+    log.log(Event.CONFIG_RELOADED, "configuration read again, directory at " + discovery, "directory", discovery);
     if (!restartNeeded.isEmpty()) {
-      log.tell(Event.CONFIG_RESTART_NEEDED, "a restart is needed", "keys", String.join(",", restartNeeded));
+      log.log(Event.CONFIG_RESTART_NEEDED, "a restart is needed", "keys", String.join(",", restartNeeded));
     }
   }
 
   /** Stops gracefully: moves or rejects the clients, then closes everything. Returns when all is closed. */
   public void stop() {
-    boolean hasSuccessor = coordinator != null && coordinator.succeeded();
+    boolean hasSuccessor = coordinator != null && coordinator.hasSuccessor();
     if (hasSuccessor) {
-      coordinator.leave(runOnLoop(() -> {
+      coordinator.storeBindings(runOnLoop(() -> {
         Map<String, String> clients = new HashMap<>();
-        core.forEachStanding(clients::put);
+        core.forEachEstablished(clients::put);
         return clients;
       }));
     }
-    log.tell(Event.PROXY_STOPS, hasSuccessor ? "stopping, another process has taken over" : "stopping");
+    log.log(Event.PROXY_STOPS, hasSuccessor ? "stopping, another process has taken over" : "stopping");
     loop.post(() -> {
       stopping = true;
       if (hasSuccessor) {
-        acceptor.leave();
+        acceptor.acceptBacklogAndClose();
       }
       core.stop(loop.now(), hasSuccessor, this::onDrained);
     });
@@ -296,16 +297,16 @@
       Thread.currentThread().interrupt();
     }
     kill();
-    log.tellSuppressed();
-    log.tell(Event.PROXY_STOPPED, counters.toString());
+    log.logSuppressed();
+    log.log(Event.PROXY_STOPPED, counters.toString());
   }
 
   /** No invocation is left: sends idle and newly arriving clients a closing line, then closes everything. */
   private void onDrained() {
-    clients.leave(setup.operator().timing().stopAdvice());
-    loop.wheel().arm(loop.now() + CLOSE_DELAY_MICROS / 2, at -> acceptor.close());
-    loop.wheel().arm(loop.now() + CLOSE_DELAY_MICROS, at -> {
-      transport.close();
+    clients.rejectNewClients(setup.operator().timing().stopRetryAfterMicros());
+    loop.timerWheel().arm(loop.now() + CLOSE_DELAY_MICROS / 2, at -> acceptor.close());
+    loop.timerWheel().arm(loop.now() + CLOSE_DELAY_MICROS, at -> {
+      transport.closeAll();
       directory.close();
       stopped.countDown();
     });
@@ -338,12 +339,12 @@
 
   /** A snapshot of the instance. */
   public Status status() {
-    return runOnLoop(() -> Statuses.of(setup, stopping, this, (loop.now() - servingSinceMicros) / 1000,
+    return runOnLoop(() -> StatusCollector.collect(setup, stopping, this, (loop.now() - servingSinceMicros) / 1000,
         transport.size(), core, addresses, counters, latencies, log, restartNeeded, discovery));
   }
 
   /** The event loop, for tests that block it. */
-  public Loop loop() {
+  public EventLoop loop() {
     return loop;
   }
 
@@ -373,7 +374,7 @@
 
     @Override
     public Map<Span, org.HdrHistogram.AbstractHistogram> latencies() {
-      return runOnLoop(() -> Statuses.copies(latencies));
+      return runOnLoop(() -> StatusCollector.copyLatencies(latencies));
     }
 
     @Override
--- a/proxy/src/main/java/amberhoist/service/Statuses.java
+++ b/proxy/src/main/java/amberhoist/service/StatusCollector.java
@@ -7,7 +7,7 @@
 import amberhoist.config.Setup;
 import amberhoist.core.Core;
 import amberhoist.decide.Balancer.Server;
-import amberhoist.directory.AddressBook;
+import amberhoist.directory.ProviderRegistry;
 import amberhoist.log.EventLog;
 import amberhoist.metrics.Counters;
 import amberhoist.metrics.Latencies;
@@ -24,28 +24,29 @@
 import org.HdrHistogram.AbstractHistogram;
 
 /** Collects the status of an instance, on the loop's thread. */
-final class Statuses {
-  private Statuses() {}
+final class StatusCollector {
+  private StatusCollector() {}
 
-  static Status of(Setup setup, boolean stopping, Service service, long uptimeMillis, int connections, Core core,
-      AddressBook addresses, Counters counters, Latencies latencies, EventLog log, List<String> restartNeeded,
+  static Status collect(Setup setup, boolean stopping, Service service, long uptimeMillis, int connections, Core core,
+      ProviderRegistry addresses, Counters counters, Latencies latencies, EventLog log, List<String> restartNeeded,
       InetSocketAddress directoryAddress) {
     Map<String, Integer> establishedByProvider = new HashMap<>();
-    core.forEachStanding((key, provider) -> establishedByProvider.merge(provider, 1, Integer::sum));
+    core.forEachEstablished((key, provider) -> establishedByProvider.merge(provider, 1, Integer::sum));
     List<Provider> providers = new ArrayList<>();
-    for (Server server : addresses.listed()) {
+    for (Server server : addresses.listedProviders()) {
       providers.add(new Provider(server.name(), server.zone(), server.state().name().toLowerCase(Locale.ROOT),
-          String.valueOf(addresses.of(server.name())), establishedByProvider.getOrDefault(server.name(), 0)));
+          String.valueOf(addresses.addressOf(server.name())), establishedByProvider.getOrDefault(server.name(), 0)));
       establishedByProvider.remove(server.name());
     }
     establishedByProvider.forEach((name, count) -> providers.add(new Provider(name, "", "unlisted", "", count)));
     Map<String, Latency> spans = new LinkedHashMap<>();
-    copies(latencies).forEach((span, histogram) -> spans.put(span.name().toLowerCase(Locale.ROOT),
+    copyLatencies(latencies).forEach((span, histogram) -> spans.put(span.name().toLowerCase(Locale.ROOT),
         new Latency(histogram.getTotalCount(), histogram.getValueAtPercentile(50),
             histogram.getValueAtPercentile(99), histogram.getMaxValue())));
     return new Status(setup.config().name(), version(), stopping ? "stopping" : "serving", listenAddress(service),
-        String.valueOf(directoryAddress), uptimeMillis, connections, core.size(), providers, counters.all(), spans,
-        new LogStatus(log.suppressed(), EventLog.dropped()), restartNeeded);
+        String.valueOf(directoryAddress), uptimeMillis, connections, core.invocationCount(), providers,
+        counters.nonZero(), spans,
+        new LogStatus(log.suppressedLines(), EventLog.droppedLines()), restartNeeded);
   }
 
   private static String listenAddress(Service service) {
@@ -57,11 +58,11 @@
   }
 
   private static String version() {
-    String version = Statuses.class.getPackage().getImplementationVersion();
+    String version = StatusCollector.class.getPackage().getImplementationVersion();
     return version == null ? "unpackaged" : version;
   }
 
-  static Map<Span, AbstractHistogram> copies(Latencies latencies) {
+  static Map<Span, AbstractHistogram> copyLatencies(Latencies latencies) {
     Map<Span, AbstractHistogram> result = new EnumMap<>(Span.class);
     for (Span span : Span.values()) {
       result.put(span, latencies.copy(span));
--- a/proxy/src/main/java/amberhoist/simulator/Codec.java
+++ b/proxy/src/main/java/amberhoist/simulator/Codec.java
@@ -1,7 +1,7 @@
 package amberhoist.simulator;
 
 import amberhoist.decide.Balancer;
-import amberhoist.decide.Balancer.ListKind;
+import amberhoist.decide.Balancer.ListUpdateKind;
 import amberhoist.decide.Balancer.Outcome;
 import amberhoist.decide.Balancer.Server;
 import com.fasterxml.jackson.core.JsonFactory;
@@ -125,7 +125,7 @@
   }
 
   private List<Server> list() {
-    if (message.mode == ListKind.FAILED) {
+    if (message.mode == ListUpdateKind.FAILED) {
       return List.of();
     }
     expect(message.mode != null, "PeersKnown without a mode");
@@ -144,20 +144,20 @@
       return instance::stop;
     }
     Runnable event = switch (name) {
-      case "PeersKnown" -> () -> balancer.members(now, m.mode, list);
-      case "Request" -> () -> balancer.request(now, m.request());
-      case "Handover" -> () -> balancer.handover(now, m.request(), m.server);
-      case "Flowing" -> () -> balancer.opened(now, m.ticket, m.sendNo, m.lag);
-      case "Ended" -> () -> balancer.ended(now, m.ticket, m.sendNo, outcome(), m.lag, m.last);
+      case "PeersKnown" -> () -> balancer.onServerList(now, m.mode, list);
+      case "Request" -> () -> balancer.onRequest(now, m.request());
+      case "Handover" -> () -> balancer.onHandover(now, m.request(), m.server);
+      case "Flowing" -> () -> balancer.onEstablished(now, m.ticket, m.sendNo, m.lag);
+      case "Ended" -> () -> balancer.onAttemptEnded(now, m.ticket, m.sendNo, outcome(), m.lag, m.last);
       case "Progress" -> () -> {
         if (m.sort == 1) {
-          balancer.load(now, m.ticket, m.sendNo, m.level);
+          balancer.onLoad(now, m.ticket, m.sendNo, m.level);
         } else if (m.sort == 2) {
-          balancer.delay(now, m.ticket, m.sendNo, m.level * 1000);
+          balancer.onQueueingDelay(now, m.ticket, m.sendNo, m.level * 1000);
         }
       };
-      case "Expired" -> () -> balancer.departed(now, m.ticket);
-      case "Wake" -> () -> balancer.timer(now, m.token);
+      case "Expired" -> () -> balancer.onClientDisconnected(now, m.ticket);
+      case "Wake" -> () -> balancer.onTimer(now, m.token);
       case "Health" -> () -> instance.report(now, m.server, m.report);
       case "Inbox" -> () -> {}; // no balancer here talks to others
       default -> throw new IllegalArgumentException("unknown message " + name);
--- a/proxy/src/main/java/amberhoist/simulator/Commands.java
+++ b/proxy/src/main/java/amberhoist/simulator/Commands.java
@@ -17,12 +17,12 @@
   }
 
   @Override
-  public void send(long request, String server, long timeout) {
+  public void startAttempt(long request, String server, long timeout) {
     put("Deliver", "ticket", request, "server", server, "within", timeout);
   }
 
   @Override
-  public void refuse(long request, long retryAfter) {
+  public void reject(long request, long retryAfter) {
     put("Bounce", "ticket", request, null, null, "not-before-for", retryAfter);
   }
 
@@ -48,12 +48,12 @@
   }
 
   @Override
-  public void ask(String server) {
+  public void requestLoadReport(String server) {
     put("Poll", null, 0, "server", server, null, 0);
   }
 
   @Override
-  public void timer(long at, long token) {
+  public void scheduleTimer(long at, long token) {
     put("Timer", "instant", at, null, null, "name", token);
   }
 
--- a/proxy/src/main/java/amberhoist/simulator/Message.java
+++ b/proxy/src/main/java/amberhoist/simulator/Message.java
@@ -1,10 +1,10 @@
 package amberhoist.simulator;
 
-import amberhoist.decide.Balancer.ListKind;
+import amberhoist.decide.Balancer.ListUpdateKind;
 import amberhoist.decide.Balancer.Request;
 import amberhoist.decide.Balancer.Server;
+import amberhoist.decide.Balancer.ServerState;
 import amberhoist.decide.Balancer.Settings;
-import amberhoist.decide.Balancer.State;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
@@ -24,7 +24,7 @@
   double level;
   long token;
   int set;
-  ListKind mode;
+  ListUpdateKind mode;
   List<Server> rows;
   long seed;
   Settings settings;
@@ -108,12 +108,12 @@
     return in.currentToken() == JsonToken.VALUE_NULL ? null : in.getText();
   }
 
-  private static ListKind kind(String letter) {
+  private static ListUpdateKind kind(String letter) {
     return switch (letter) {
-      case "D" -> ListKind.CHANGES;
-      case "F" -> ListKind.FULL;
-      case "C" -> ListKind.STALE;
-      case "X" -> ListKind.FAILED;
+      case "D" -> ListUpdateKind.CHANGES;
+      case "F" -> ListUpdateKind.FULL;
+      case "C" -> ListUpdateKind.STALE;
+      case "X" -> ListUpdateKind.FAILED;
       default -> throw new IllegalArgumentException("unknown list mode " + letter);
     };
   }
@@ -131,7 +131,7 @@
     String zone = null;
     String kind = null;
     int cell = 0;
-    State state = State.READY;
+    ServerState state = ServerState.READY;
     double size = 0;
     long since = 0;
     while (in.nextToken() == JsonToken.FIELD_NAME) {
@@ -154,11 +154,11 @@
     return new Server(name, zone, kind, cell, state, size, since);
   }
 
-  private static State state(String word) {
+  private static ServerState state(String word) {
     return switch (word) {
-      case "active" -> State.READY;
-      case "leaving" -> State.DRAINING;
-      case "left" -> State.GONE;
+      case "active" -> ServerState.READY;
+      case "leaving" -> ServerState.DRAINING;
+      case "left" -> ServerState.GONE;
       default -> throw new IllegalArgumentException("unknown server state " + word);
     };
   }
--- a/proxy/src/main/java/amberhoist/simulator/Session.java
+++ b/proxy/src/main/java/amberhoist/simulator/Session.java
@@ -28,7 +28,7 @@
     /** What a probe brought; without a report it is as if it had not been asked. */
     void report(long now, String server, List<Double> fields) {
       if (reportField >= 0 && reportField < fields.size()) {
-        balancer.report(now, server, fields.get(reportField));
+        balancer.onLoadReport(now, server, fields.get(reportField));
       }
     }
 
--- a/proxy/src/main/java/amberhoist/simulator/SettingsReader.java
+++ b/proxy/src/main/java/amberhoist/simulator/SettingsReader.java
@@ -1,10 +1,10 @@
 package amberhoist.simulator;
 
+import amberhoist.decide.Balancer.ConnectionValue;
+import amberhoist.decide.Balancer.DedupScope;
 import amberhoist.decide.Balancer.Effect;
 import amberhoist.decide.Balancer.RequestClass;
-import amberhoist.decide.Balancer.Scope;
 import amberhoist.decide.Balancer.Settings;
-import amberhoist.decide.Balancer.Value;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
@@ -96,25 +96,25 @@
     return flat.containsKey("reporting.fields." + field) ? field : -1;
   }
 
-  private Value value() {
+  private ConnectionValue value() {
     Map<String, Double> shares = new HashMap<>();
     for (int i = 0; flat.containsKey("family-info.tenant-quota-connections." + i); i++) {
       shares.put(flat.getOrDefault("tenants." + i + ".name", ""),
           number("family-info.tenant-quota-connections." + i, 0));
     }
-    return new Value("work".equals(flat.get("worth-by")), number("over-share-worth", 1), shares);
+    return new ConnectionValue("work".equals(flat.get("worth-by")), number("over-share-worth", 1), shares);
   }
 
   private RequestClass requestClass(String at, double messageAim) {
     Effect effect = switch (flat.getOrDefault(at + "effect", "side_effect")) {
-      case "pure" -> Effect.SAFE;
-      case "token" -> Effect.KEYED;
-      default -> Effect.UNSAFE;
+      case "pure" -> Effect.IDEMPOTENT;
+      case "token" -> Effect.DEDUPLICATED;
+      default -> Effect.NON_IDEMPOTENT;
     };
-    Scope scope = switch (flat.getOrDefault(at + "key-scope", "cell")) {
-      case "all" -> Scope.ALL;
-      case "zone" -> Scope.ZONE;
-      default -> Scope.CELL;
+    DedupScope scope = switch (flat.getOrDefault(at + "key-scope", "cell")) {
+      case "all" -> DedupScope.ALL;
+      case "zone" -> DedupScope.ZONE;
+      default -> DedupScope.CELL;
     };
     return new RequestClass(
         flat.getOrDefault(at + "name", ""),
--- a/proxy/src/main/java/amberhoist/upgrade/Succession.java
+++ b/proxy/src/main/java/amberhoist/upgrade/UpgradeCoordinator.java
@@ -1,6 +1,6 @@
 package amberhoist.upgrade;
 
-import amberhoist.upgrade.Handover.Member;
+import amberhoist.upgrade.UpgradeRecord.Member;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Map;
@@ -16,32 +16,32 @@
  * Coordinates this process with the other processes of the same proxy during an upgrade, through a record in a folder
  * that they share. Reads and writes files on its own thread.
  */
-public final class Succession implements AutoCloseable {
+public final class UpgradeCoordinator implements AutoCloseable {
   /** Receives changes made by the other processes, on the coordinator's thread. Callbacks must not block. */
-  public interface Host {
+  public interface Listener {
     /**
      * The set of suspended providers has changed, through the management API of any process. Calls come in order.
      *
-     * @param done to be run once the change has taken effect
+     * @param onApplied to be run once the change has taken effect
      */
-    void suspended(Set<String> providers, Runnable done);
+    void onSuspensionsChanged(Set<String> providers, Runnable onApplied);
 
     /** Another process moves its clients to this one; the map gives the provider of each client key. */
-    void bindings(Map<String, String> clients);
+    void onBindingsChanged(Map<String, String> clients);
 
     /** The number of descriptors that the other processes hold, 0 if there are none. */
-    void elsewhere(int descriptors);
+    void onOtherDescriptors(int otherDescriptors);
   }
 
   private static final long POLL_PERIOD_MILLIS = 100;
   private static final int UPDATE_DESCRIPTORS = 3; // opened for a moment by an update of the record
 
   private final String token = UUID.randomUUID().toString();
-  private final HandoverFile file;
-  private final Host listener;
+  private final UpgradeRecordFile file;
+  private final Listener listener;
   private final Consumer<String> failureListener;
   private final ScheduledThreadPoolExecutor executor;
-  private Handover lastSeen = Handover.EMPTY;
+  private UpgradeRecord lastSeen = UpgradeRecord.EMPTY;
   private Member self = new Member(token, ProcessHandle.current().pid(), false, 0);
   private int otherDescriptors;
   private volatile int heldDescriptors;
@@ -53,10 +53,10 @@
    * @param folder the folder that the processes share
    * @param failureListener called with a message when the record cannot be read or written
    */
-  public Succession(Path folder, Host listener, Consumer<String> failureListener) {
+  public UpgradeCoordinator(Path folder, Listener listener, Consumer<String> failureListener) {
     this.listener = listener;
     this.failureListener = failureListener;
-    file = new HandoverFile(folder, this::reportFailure);
+    file = new UpgradeRecordFile(folder, this::reportFailure);
     executor = new ScheduledThreadPoolExecutor(1, task -> {
       Thread thread = new Thread(null, task, "upgrade", 1 << 18);
       thread.setDaemon(true);
@@ -67,13 +67,13 @@
   /** Registers this process before it serves. When this returns, the listener has received all suspensions. */
   public void join() {
     lastSeen = updateRecord(record -> record.with(self));
-    listener.suspended(lastSeen.suspended(), () -> { });
+    listener.onSuspensionsChanged(lastSeen.suspended(), () -> { });
     poll();
     executor.scheduleWithFixedDelay(this::poll, POLL_PERIOD_MILLIS, POLL_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /** Records that this process serves from now on. */
-  public CompletableFuture<Void> ready() {
+  public CompletableFuture<Void> markReady() {
     return CompletableFuture.runAsync(() -> {
       self = new Member(token, self.pid(), true, heldDescriptors);
       lastSeen = updateRecord(record -> record.with(self));
@@ -81,7 +81,7 @@
   }
 
   /** Sets the number of descriptors that this process holds; callable from any thread. */
-  public void holds(int descriptors) {
+  public void setHeldDescriptors(int descriptors) {
     heldDescriptors = descriptors + UPDATE_DESCRIPTORS;
   }
 
@@ -89,12 +89,12 @@
    * Suspends or resumes a provider in all processes. Completes with true once the change is stored and has taken effect
    * in this process, with false if it could not be stored.
    */
-  public CompletableFuture<Boolean> suspend(String provider, boolean suspended) {
+  public CompletableFuture<Boolean> setSuspended(String provider, boolean suspended) {
     CompletableFuture<Boolean> result = new CompletableFuture<>();
     executor.execute(() -> {
       try {
         lastSeen = file.update(record -> withoutDeadMembers(record.with(provider, suspended)).with(self));
-        listener.suspended(lastSeen.suspended(), () -> result.complete(true));
+        listener.onSuspensionsChanged(lastSeen.suspended(), () -> result.complete(true));
       } catch (IOException | RuntimeException failure) {
         reportFailure(String.valueOf(failure.getMessage()));
         result.complete(false);
@@ -104,31 +104,31 @@
   }
 
   /** Stores the provider of each of this process's clients, by client key, for the process that they are moved to. */
-  public void leave(Map<String, String> clients) {
-    CompletableFuture.runAsync(() -> updateRecord(record -> record.binding(clients)), executor).join();
+  public void storeBindings(Map<String, String> clients) {
+    CompletableFuture.runAsync(() -> updateRecord(record -> record.withBindings(clients)), executor).join();
   }
 
   /** Whether a live process that started after this one serves. */
-  public boolean succeeded() {
-    return CompletableFuture.supplyAsync(() -> withoutDeadMembers(file.read()).succeeded(token), executor).join();
+  public boolean hasSuccessor() {
+    return CompletableFuture.supplyAsync(() -> withoutDeadMembers(file.read()).hasSuccessor(token), executor).join();
   }
 
   private void poll() {
     try {
-      Handover now = file.read();
+      UpgradeRecord now = file.read();
       if (!now.suspended().equals(lastSeen.suspended())) {
-        listener.suspended(now.suspended(), () -> { });
+        listener.onSuspensionsChanged(now.suspended(), () -> { });
       }
       // Only the process that started last receives the bindings: clients are moved to it.
-      if (!now.bindings().equals(lastSeen.bindings()) && !now.succeeded(token)) {
-        listener.bindings(now.bindings());
+      if (!now.bindings().equals(lastSeen.bindings()) && !now.hasSuccessor(token)) {
+        listener.onBindingsChanged(now.bindings());
       }
       lastSeen = now;
       int others = withoutDeadMembers(now).members().stream().filter(member -> !member.token().equals(token))
           .mapToInt(Member::descriptors).sum();
       if (others != otherDescriptors || others > 0) {
         otherDescriptors = others;
-        listener.elsewhere(others);
+        listener.onOtherDescriptors(others);
       }
       if (heldDescriptors != self.descriptors() && (others > 0 || self.descriptors() == 0)) {
         self = new Member(token, self.pid(), self.ready(), heldDescriptors);
@@ -140,7 +140,7 @@
   }
 
   /** Applies a change to the record. On failure reports it and returns the last known record. */
-  private Handover updateRecord(UnaryOperator<Handover> change) {
+  private UpgradeRecord updateRecord(UnaryOperator<UpgradeRecord> change) {
     try {
       return file.update(record -> change.apply(withoutDeadMembers(record)));
     } catch (IOException failure) {
@@ -149,8 +149,8 @@
     }
   }
 
-  private Handover withoutDeadMembers(Handover record) {
-    return record.keeping(member -> member.token().equals(token)
+  private UpgradeRecord withoutDeadMembers(UpgradeRecord record) {
+    return record.filterMembers(member -> member.token().equals(token)
         || ProcessHandle.of(member.pid()).map(ProcessHandle::isAlive).orElse(false));
   }
 
@@ -163,7 +163,7 @@
 
   @Override
   public void close() {
-    executor.execute(() -> updateRecord(record -> record.keeping(member -> !member.token().equals(token))));
+    executor.execute(() -> updateRecord(record -> record.filterMembers(member -> !member.token().equals(token))));
     executor.shutdown();
     try {
       executor.awaitTermination(1, TimeUnit.SECONDS);
--- a/proxy/src/main/java/amberhoist/upgrade/Handover.java
+++ b/proxy/src/main/java/amberhoist/upgrade/UpgradeRecord.java
@@ -14,9 +14,9 @@
  * @param members the processes, in the order in which they started
  * @param bindings the providers of the clients that the process that stopped last has moved away, by client key
  */
-public record Handover(Set<String> suspended, List<Member> members, Map<String, String> bindings) {
+public record UpgradeRecord(Set<String> suspended, List<Member> members, Map<String, String> bindings) {
   /** A record without content. */
-  public static final Handover EMPTY = new Handover(Set.of(), List.of(), Map.of());
+  public static final UpgradeRecord EMPTY = new UpgradeRecord(Set.of(), List.of(), Map.of());
 
   /**
    * A process of the proxy.
@@ -29,41 +29,41 @@
   public record Member(String token, long pid, boolean ready, int descriptors) {}
 
   /** A copy in which this provider is suspended or resumed. */
-  public Handover with(String provider, boolean isSuspended) {
+  public UpgradeRecord with(String provider, boolean isSuspended) {
     Set<String> names = new TreeSet<>(suspended);
     if (isSuspended) {
       names.add(provider);
     } else {
       names.remove(provider);
     }
-    return new Handover(names, members, bindings);
+    return new UpgradeRecord(names, members, bindings);
   }
 
   /** A copy in which this entry replaces the one with the same token, or is added at the end if there is none. */
-  public Handover with(Member member) {
+  public UpgradeRecord with(Member member) {
     List<Member> all = new ArrayList<>(members);
     for (int i = 0; i < all.size(); i++) {
       if (all.get(i).token().equals(member.token())) {
         all.set(i, member);
-        return new Handover(suspended, all, bindings);
+        return new UpgradeRecord(suspended, all, bindings);
       }
     }
     all.add(member);
-    return new Handover(suspended, all, bindings);
+    return new UpgradeRecord(suspended, all, bindings);
   }
 
   /** A copy with only the members that match. */
-  public Handover keeping(Predicate<Member> predicate) {
-    return new Handover(suspended, members.stream().filter(predicate).toList(), bindings);
+  public UpgradeRecord filterMembers(Predicate<Member> predicate) {
+    return new UpgradeRecord(suspended, members.stream().filter(predicate).toList(), bindings);
   }
 
   /** A copy with these bindings in place of the current ones. */
-  public Handover binding(Map<String, String> newBindings) {
-    return new Handover(suspended, members, newBindings);
+  public UpgradeRecord withBindings(Map<String, String> newBindings) {
+    return new UpgradeRecord(suspended, members, newBindings);
   }
 
   /** Whether a process that started after the one with this token serves. */
-  public boolean succeeded(String token) {
+  public boolean hasSuccessor(String token) {
     boolean isLater = false;
     for (Member member : members) {
       if (isLater && member.ready()) {
--- a/proxy/src/main/java/amberhoist/upgrade/HandoverCodec.java
+++ b/proxy/src/main/java/amberhoist/upgrade/UpgradeRecordCodec.java
@@ -1,6 +1,6 @@
 package amberhoist.upgrade;
 
-import amberhoist.upgrade.Handover.Member;
+import amberhoist.upgrade.UpgradeRecord.Member;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -16,33 +16,33 @@
 import java.util.TreeSet;
 
 /** Encodes the record as a JSON object whose first field is the version of the format. */
-public final class HandoverCodec {
+public final class UpgradeRecordCodec {
   /** The version of the format. Records of other versions are not read, and those of newer versions not overwritten. */
   public static final int VERSION = 1;
 
   private static final JsonFactory JSON = new JsonFactory();
 
   /** Thrown when bytes are not a valid record of this version; the message gives the reason in one line. */
-  public static final class Unreadable extends Exception {
+  public static final class UnreadableRecordException extends Exception {
     private static final long serialVersionUID = 1;
 
-    private final boolean newer;
+    private final boolean isNewerVersion;
 
-    Unreadable(String why, boolean newer) {
+    UnreadableRecordException(String why, boolean newer) {
       super(why);
-      this.newer = newer;
+      this.isNewerVersion = newer;
     }
 
     /** Whether the record has a newer version of the format. */
-    public boolean newer() {
-      return newer;
+    public boolean isNewerVersion() {
+      return isNewerVersion;
     }
   }
 
-  private HandoverCodec() {}
+  private UpgradeRecordCodec() {}
 
   /** Encodes a record. */
-  public static byte[] write(Handover record) {
+  public static byte[] encode(UpgradeRecord record) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator out = JSON.createGenerator(bytes)) {
       out.writeStartObject();
@@ -75,13 +75,13 @@
   }
 
   /** Decodes a record. */
-  public static Handover read(byte[] bytes) throws Unreadable {
+  public static UpgradeRecord decode(byte[] bytes) throws UnreadableRecordException {
     try (JsonParser in = JSON.createParser(bytes)) {
       require(in.nextToken() == JsonToken.START_OBJECT && "version".equals(in.nextFieldName()), "no version");
       require(in.nextToken() == JsonToken.VALUE_NUMBER_INT, "the version is not a number");
       int version = in.getIntValue();
       if (version != VERSION) {
-        throw new Unreadable("unsupported version " + version + ", expected " + VERSION,
+        throw new UnreadableRecordException("unsupported version " + version + ", expected " + VERSION,
             version > VERSION);
       }
       Set<String> suspended = new TreeSet<>();
@@ -110,13 +110,13 @@
         }
       }
       require(in.currentToken() == JsonToken.END_OBJECT && in.nextToken() == null, "the record is incomplete");
-      return new Handover(suspended, members, bindings);
+      return new UpgradeRecord(suspended, members, bindings);
     } catch (IOException fault) {
-      throw new Unreadable("the record is incomplete or not JSON", false);
+      throw new UnreadableRecordException("the record is incomplete or not JSON", false);
     }
   }
 
-  private static Member readMember(JsonParser in) throws IOException, Unreadable {
+  private static Member readMember(JsonParser in) throws IOException, UnreadableRecordException {
     require(in.currentToken() == JsonToken.START_OBJECT, "a member is not an object");
     String token = null;
     long pid = 0;
@@ -137,9 +137,9 @@
     return new Member(token, pid, ready, descriptors);
   }
 
-  private static void require(boolean condition, String message) throws Unreadable {
+  private static void require(boolean condition, String message) throws UnreadableRecordException {
     if (!condition) {
-      throw new Unreadable(message, false);
+      throw new UnreadableRecordException(message, false);
     }
   }
 }
--- a/proxy/src/main/java/amberhoist/upgrade/HandoverFile.java
+++ b/proxy/src/main/java/amberhoist/upgrade/UpgradeRecordFile.java
@@ -1,6 +1,6 @@
 package amberhoist.upgrade;
 
-import amberhoist.upgrade.HandoverCodec.Unreadable;
+import amberhoist.upgrade.UpgradeRecordCodec.UnreadableRecordException;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
 import java.nio.channels.OverlappingFileLockException;
@@ -16,7 +16,7 @@
 import java.util.function.UnaryOperator;
 
 /** Stores the record in a file. Updates hold a lock and replace the file atomically, so that no update is lost. */
-final class HandoverFile {
+final class UpgradeRecordFile {
   private static final String FILE_NAME = "amberhoist.handover";
   private static final int MAX_LOCK_ATTEMPTS = 40; // the lock is held while a few hundred bytes are written
   private static final long LOCK_RETRY_NANOS = 5_000_000;
@@ -26,7 +26,7 @@
   private final Path lockFile;
   private final Consumer<String> unreadableListener;
   private Object lastFileState; // to detect changes: time, size and key of the file when it was last read
-  private Handover lastRecord = Handover.EMPTY;
+  private UpgradeRecord lastRecord = UpgradeRecord.EMPTY;
 
   /**
    * Creates an accessor; touches no file yet.
@@ -34,7 +34,7 @@
    * @param folder the folder that the processes share
    * @param unreadableListener called with a message when the file cannot be read
    */
-  HandoverFile(Path folder, Consumer<String> unreadableListener) {
+  UpgradeRecordFile(Path folder, Consumer<String> unreadableListener) {
     this.unreadableListener = unreadableListener;
     file = folder.resolve(FILE_NAME);
     newFile = folder.resolve(FILE_NAME + ".new");
@@ -45,16 +45,16 @@
    * Returns the current record. If the file is missing or corrupt, returns the record that was last read or written:
    * otherwise the loss of the file would resume all suspended providers.
    */
-  Handover read() {
+  UpgradeRecord read() {
     try {
       Object now = fileState();
       if (!now.equals(lastFileState)) {
         lastFileState = now;
-        lastRecord = HandoverCodec.read(Files.readAllBytes(file));
+        lastRecord = UpgradeRecordCodec.decode(Files.readAllBytes(file));
       }
     } catch (NoSuchFileException missing) {
       lastFileState = null;
-    } catch (IOException | Unreadable fault) {
+    } catch (IOException | UnreadableRecordException fault) {
       unreadableListener.accept(file + " cannot be read: " + fault.getMessage());
     }
     return lastRecord;
@@ -70,21 +70,21 @@
    *
    * @throws IOException if the file cannot be locked or written, or holds a record of a newer version
    */
-  Handover update(UnaryOperator<Handover> change) throws IOException {
+  UpgradeRecord update(UnaryOperator<UpgradeRecord> change) throws IOException {
     try (FileChannel channel = FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
       acquireLock(channel); // held until the channel is closed
-      Handover before = lastRecord;
+      UpgradeRecord before = lastRecord;
       try {
-        before = HandoverCodec.read(Files.readAllBytes(file));
+        before = UpgradeRecordCodec.decode(Files.readAllBytes(file));
       } catch (NoSuchFileException missing) {
         // not written yet, or removed
-      } catch (Unreadable fault) {
-        if (fault.newer()) {
+      } catch (UnreadableRecordException fault) {
+        if (fault.isNewerVersion()) {
           throw new IOException("a newer version has written " + file + ": " + fault.getMessage(), fault);
         }
       }
-      Handover after = change.apply(before);
-      Files.write(newFile, HandoverCodec.write(after));
+      UpgradeRecord after = change.apply(before);
+      Files.write(newFile, UpgradeRecordCodec.encode(after));
       Files.move(newFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
       lastRecord = after;
       lastFileState = fileState();
--- a/proxy/src/test/java/amberhoist/LimitsTest.java
+++ b/proxy/src/test/java/amberhoist/LimitsTest.java
@@ -36,7 +36,7 @@
 
   @Test
   void theModuleDependsOnNothingButTheJdkAndKeepsNoStaticState() throws IOException {
-    for (String name : List.of("Policy.java", "Balancer.java", "Ledger.java")) {
+    for (String name : List.of("Policy.java", "Balancer.java", "BalancerState.java")) {
       String text = Files.readString(SOURCES.resolve(name));
       List<String> foreign = text.lines()
           .filter(line -> line.startsWith("import "))
--- a/proxy/src/test/java/amberhoist/admin/AdminSocketTest.java
+++ b/proxy/src/test/java/amberhoist/admin/AdminSocketTest.java
@@ -47,8 +47,8 @@
   void anAnswerThatTakesLongIsNoDawdling() throws Exception {
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     try (AdminSocket admin = new AdminSocket(any, TIMEOUT, new Slow(), new EventLog("n0", LogSettings.DEFAULT))) {
-      assertEquals("all of it", AdminClient.ask(admin.address(), "/config"));
-      assertThrows(IOException.class, () -> AdminClient.ask(admin.address(), "/nothing"), "a 404 is told as such");
+      assertEquals("all of it", AdminClient.get(admin.address(), "/config"));
+      assertThrows(IOException.class, () -> AdminClient.get(admin.address(), "/nothing"), "a 404 is told as such");
     }
   }
 }
--- a/proxy/src/test/java/amberhoist/cli/DeployTest.java
+++ b/proxy/src/test/java/amberhoist/cli/DeployTest.java
@@ -46,6 +46,6 @@
 
   @Test
   public void theRehearsalOfTheBuildGoesThrough() throws Exception {
-    Rehearsal.run("../example/config.json");
+    TrainingRun.run("../example/config.json");
   }
 }
--- a/proxy/src/test/java/amberhoist/cli/ProcessTest.java
+++ b/proxy/src/test/java/amberhoist/cli/ProcessTest.java
@@ -64,7 +64,7 @@
     long end = System.nanoTime() + PATIENCE * 1_000_000L;
     while (true) {
       try {
-        return JSON.readTree(AdminClient.ask(admin(), "/status"));
+        return JSON.readTree(AdminClient.get(admin(), "/status"));
       } catch (IOException notYet) {
         assertTrue(process.isAlive() && System.nanoTime() < end, "nobody answers: " + notYet);
         Thread.onSpinWait();
@@ -114,10 +114,10 @@
       assertEquals("serving", status.path("state").asText());
       assertEquals(2, status.path("providers").size());
       assertEquals("PONG", answer(port(status), "PING\r\n"));
-      String metrics = AdminClient.ask(admin(), "/metrics");
+      String metrics = AdminClient.get(admin(), "/metrics");
       assertTrue(metrics.contains("amberhoist_pinged_total 1.0"), metrics);
       assertTrue(metrics.contains("amberhoist_setup_seconds{quantile=\"0.99\"}"), metrics);
-      assertTrue(AdminClient.ask(admin(), "/config").contains("o.toml:4"));
+      assertTrue(AdminClient.get(admin(), "/config").contains("o.toml:4"));
       Files.writeString(file, "[log]\nformat = \"text\"\n[line]\npings = 0\n");
       signal(process, "HUP");
       awaitEvent(log, "config.refused");
@@ -336,7 +336,7 @@
         idle.getOutputStream().write("GET /sta".getBytes(StandardCharsets.US_ASCII));
         assertEquals(-1, idle.getInputStream().read(), "cut off");
       }
-      String answer = AdminClient.ask(new InetSocketAddress("127.0.0.1", port), "/status");
+      String answer = AdminClient.get(new InetSocketAddress("127.0.0.1", port), "/status");
       assertEquals("serving", JSON.readTree(answer).path("state").asText());
     } finally {
       process.destroyForcibly();
--- a/proxy/src/test/java/amberhoist/config/ConfigTest.java
+++ b/proxy/src/test/java/amberhoist/config/ConfigTest.java
@@ -55,6 +55,6 @@
     assertEquals("b", config.name());
     assertEquals(9, config.listen().getPort());
     assertEquals(2, config.discovery().getPort());
-    assertEquals(7, config.limits().dial());
+    assertEquals(7, config.limits().connectTimeoutMicros());
   }
 }
--- a/proxy/src/test/java/amberhoist/config/SetupTest.java
+++ b/proxy/src/test/java/amberhoist/config/SetupTest.java
@@ -89,7 +89,7 @@
     assertEquals("json", setup.config().name());
     assertEquals(300, setup.config().sockets(), "the platform's JSON goes before the file");
     assertEquals(9, setup.operator().log().rate(), "the file before the defaults");
-    assertEquals(20_000, setup.operator().timing().answerMargin());
+    assertEquals(20_000, setup.operator().timing().answerMarginMicros());
     assertEquals(Operator.DEFAULT.log().burst(), setup.operator().log().burst());
     environment.put("LB_NAME", "variable");
     environment.put("AMBERHOIST_LOG_RATE", "8");
--- a/proxy/src/test/java/amberhoist/core/CrossingsTest.java
+++ b/proxy/src/test/java/amberhoist/core/EventOrderTest.java
@@ -3,15 +3,15 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
+import amberhoist.decide.Balancer.ConnectionValue;
+import amberhoist.decide.Balancer.DedupScope;
 import amberhoist.decide.Balancer.Effect;
-import amberhoist.decide.Balancer.ListKind;
+import amberhoist.decide.Balancer.ListUpdateKind;
 import amberhoist.decide.Balancer.Outcome;
 import amberhoist.decide.Balancer.RequestClass;
-import amberhoist.decide.Balancer.Scope;
 import amberhoist.decide.Balancer.Server;
+import amberhoist.decide.Balancer.ServerState;
 import amberhoist.decide.Balancer.Settings;
-import amberhoist.decide.Balancer.State;
-import amberhoist.decide.Balancer.Value;
 import amberhoist.decide.Policy;
 import amberhoist.metrics.Counters;
 import java.util.ArrayList;
@@ -23,7 +23,7 @@
  * The core with the real decision module, for events that meet in an order that sockets produce about once in a
  * thousand days. Where the order matters, both orders are tested.
  */
-public class CrossingsTest {
+public class EventOrderTest {
   private static final long MILLIS = 1000;
   private static final long WINDOW_MICROS = 400 * MILLIS;
 
@@ -32,13 +32,13 @@
     private long lastConnection;
 
     @Override
-    public long dial(long invocation, long client, String provider) {
+    public long connect(long invocation, long client, String provider) {
       commandLog.add("dial " + provider);
       return ++lastConnection;
     }
 
     @Override
-    public void forward(long provider, long millis) {
+    public void forwardOpenRequest(long provider, long millis) {
       commandLog.add("forward " + provider);
     }
 
@@ -46,7 +46,7 @@
     public void abandon(long provider) {}
 
     @Override
-    public void join(long client, long provider) {
+    public void relay(long client, long provider) {
       commandLog.add("join " + client);
     }
 
@@ -66,38 +66,38 @@
     }
 
     @Override
-    public void watch() {}
+    public void watchDirectory() {}
 
     @Override
-    public void ask(String provider) {}
+    public void requestLoadReport(String provider) {}
 
     @Override
     public void log(String message) {}
   };
   private long now = 1_000_000_000;
-  private final Wheel wheel = new Wheel(4 * MILLIS, now);
+  private final TimerWheel wheel = new TimerWheel(4 * MILLIS, now);
   private final Counters counters = new Counters();
   private final Core core = new Core(new Policy(), wheel, commands, counters,
       new Limits(250 * MILLIS, 3000 * MILLIS, Set.of(), Set.of()), Timing.DEFAULT, Telemetry.NONE);
 
   private void start(Effect effect, int providerCount) {
-    RequestClass type = new RequestClass("c", effect, Scope.ALL, 300 * MILLIS, WINDOW_MICROS, 1, 100 * MILLIS);
+    RequestClass type = new RequestClass("c", effect, DedupScope.ALL, 300 * MILLIS, WINDOW_MICROS, 1, 100 * MILLIS);
     List<Server> known = new ArrayList<>();
     for (int i = 0; i < providerCount; i++) {
-      known.add(server(i, State.READY));
+      known.add(server(i, ServerState.READY));
     }
     core.start(now, new Settings("z", 0, 2, List.of(type), false, 10_000 * MILLIS, 4, 600 * MILLIS, 0, 0, 0.3,
-        9000 * MILLIS, 2.5, 3000 * MILLIS, Value.NONE, false), 7, known);
+        9000 * MILLIS, 2.5, 3000 * MILLIS, ConnectionValue.DEFAULT, false), 7, known);
   }
 
-  private static Server server(int index, State state) {
+  private static Server server(int index, ServerState state) {
     return new Server("p" + index, "z", "k", 0, state, 1, 0);
   }
 
   /** Submits a request of a client that waits for {@code waitMicros}; returns the id of its invocation. */
   private long request(long client, long waitMicros) {
-    return core.invocation(now, client,
-        new Arrival("c", null, "k" + client, null, waitMicros / MILLIS, 0, false, false, null));
+    return core.onInvocation(now, client,
+        new InvocationRequest("c", null, "k" + client, null, waitMicros / MILLIS, 0, false, false, null));
   }
 
   /** Advances the clock in ticks of 4 ms. */
@@ -126,15 +126,15 @@
   @Test
   public void resetBeforeWriteCompletionDoesNotProveThatNothingRan() {
     for (boolean completionFirst : new boolean[] {true, false}) {
-      CrossingsTest fixture = new CrossingsTest();
-      fixture.start(Effect.UNSAFE, 3);
+      EventOrderTest fixture = new EventOrderTest();
+      fixture.start(Effect.NON_IDEMPOTENT, 3);
       long invocation = fixture.request(7, 2000 * MILLIS);
-      fixture.core.connected(fixture.now, invocation, 1);
+      fixture.core.onConnected(fixture.now, invocation, 1);
       if (completionFirst) {
-        fixture.core.written(fixture.now, invocation, 1);
+        fixture.core.onOpenRequestWritten(fixture.now, invocation, 1);
       }
-      fixture.core.callEnded(fixture.now, invocation, 1, Outcome.RESET);
-      fixture.core.written(fixture.now, invocation, 1);
+      fixture.core.onAttemptFailed(fixture.now, invocation, 1, Outcome.RESET);
+      fixture.core.onOpenRequestWritten(fixture.now, invocation, 1);
       fixture.pass(2000 * MILLIS);
       assertEquals("one attempt", 1, fixture.count("dial"));
       assertEquals("failed, not rejected as safe to retry", 1, fixture.count("fail 7"));
@@ -143,11 +143,11 @@
 
   @Test
   public void connectionThatEndsBeforeTheLineIsForwardedIsRetriedAtOnce() {
-    start(Effect.UNSAFE, 3);
+    start(Effect.NON_IDEMPOTENT, 3);
     long invocation = request(7, 2000 * MILLIS);
-    core.callEnded(now, invocation, 1, Outcome.RESET);
+    core.onAttemptFailed(now, invocation, 1, Outcome.RESET);
     assertEquals("another attempt at once", 2, count("dial"));
-    core.connected(now, invocation, 2);
+    core.onConnected(now, invocation, 2);
     assertEquals(1, count("forward"));
   }
 
@@ -155,13 +155,13 @@
   @Test
   public void timeoutsBeforeWriteCompletionDoNotProveThatNothingRan() {
     for (boolean completionFirst : new boolean[] {true, false}) {
-      CrossingsTest fixture = new CrossingsTest();
-      fixture.start(Effect.UNSAFE, 3);
+      EventOrderTest fixture = new EventOrderTest();
+      fixture.start(Effect.NON_IDEMPOTENT, 3);
       long invocation = fixture.request(7, 2000 * MILLIS);
       fixture.pass(240 * MILLIS);
-      fixture.core.connected(fixture.now, invocation, 1);
+      fixture.core.onConnected(fixture.now, invocation, 1);
       if (completionFirst) {
-        fixture.core.written(fixture.now, invocation, 1);
+        fixture.core.onOpenRequestWritten(fixture.now, invocation, 1);
       }
       fixture.pass(20 * MILLIS); // past the connect timeout
       assertEquals("the connection is kept", 1, fixture.count("dial"));
@@ -178,27 +178,27 @@
    */
   @Test
   public void drainBetweenConnectAndConnectedPreventsForwarding() {
-    start(Effect.SAFE, 2);
+    start(Effect.IDEMPOTENT, 2);
     long invocation = request(7, 2000 * MILLIS);
     int first = lastProvider();
-    core.directory(now, ListKind.CHANGES, List.of(server(first, State.DRAINING)));
-    core.connected(now, invocation, 1);
+    core.onDirectoryUpdate(now, ListUpdateKind.CHANGES, List.of(server(first, ServerState.DRAINING)));
+    core.onConnected(now, invocation, 1);
     assertEquals("nothing new to the draining provider", 0, count("forward"));
     assertEquals("the other provider is tried at once", 1 - first, lastProvider());
-    core.connected(now, invocation, 2);
+    core.onConnected(now, invocation, 2);
     assertEquals(List.of("forward 2"), commandLog.stream().filter(line -> line.startsWith("forward")).toList());
-    core.directory(now, ListKind.CHANGES, List.of(server(1 - first, State.DRAINING)));
-    core.up(now, invocation, 2);
+    core.onDirectoryUpdate(now, ListUpdateKind.CHANGES, List.of(server(1 - first, ServerState.DRAINING)));
+    core.onUp(now, invocation, 2);
     assertEquals("an attempt sent before the update goes on", 1, count("join 7"));
   }
 
   @Test
   public void suspensionBetweenConnectAndConnectedPreventsForwarding() {
-    start(Effect.SAFE, 2);
+    start(Effect.IDEMPOTENT, 2);
     long invocation = request(7, 2000 * MILLIS);
     int first = lastProvider();
-    core.suspend(now, Set.of("p" + first));
-    core.connected(now, invocation, 1);
+    core.setSuspended(now, Set.of("p" + first));
+    core.onConnected(now, invocation, 1);
     assertEquals(0, count("forward"));
     assertEquals(1 - first, lastProvider());
   }
@@ -210,15 +210,15 @@
   @Test
   public void retryWhoseConnectionIsReadyAfterTheWindowIsNotSent() {
     for (boolean inWindow : new boolean[] {true, false}) {
-      CrossingsTest fixture = new CrossingsTest();
-      fixture.start(Effect.KEYED, 3);
+      EventOrderTest fixture = new EventOrderTest();
+      fixture.start(Effect.DEDUPLICATED, 3);
       long invocation = fixture.request(7, 2000 * MILLIS);
-      fixture.core.connected(fixture.now, invocation, 1);
+      fixture.core.onConnected(fixture.now, invocation, 1);
       fixture.pass(WINDOW_MICROS - 200 * MILLIS);
-      fixture.core.callEnded(fixture.now, invocation, 1, Outcome.RESET);
+      fixture.core.onAttemptFailed(fixture.now, invocation, 1, Outcome.RESET);
       assertEquals("repeats are dropped by all providers", 2, fixture.count("dial"));
       fixture.pass(inWindow ? 100 * MILLIS : 180 * MILLIS); // the line would arrive a few milliseconds later still
-      fixture.core.connected(fixture.now, invocation, 2);
+      fixture.core.onConnected(fixture.now, invocation, 2);
       assertEquals(inWindow ? 2 : 1, fixture.count("forward"));
       fixture.pass(2000 * MILLIS);
       assertEquals("may have run, and repeats are no longer dropped", 1, fixture.count("fail 7"));
@@ -228,26 +228,26 @@
   /** Prevents the end of a stop from rejecting all pending invocations as if none of them could have run. */
   @Test
   public void endOfStopFailsInvocationsThatMayHaveRun() {
-    start(Effect.UNSAFE, 9);
+    start(Effect.NON_IDEMPOTENT, 9);
     long sent = request(1, 9000 * MILLIS);
-    core.connected(now, sent, 1);
+    core.onConnected(now, sent, 1);
     boolean[] stopped = new boolean[1];
     core.stop(now, false, () -> stopped[0] = true);
     pass(400 * MILLIS); // new requests are still served
     long late = request(2, 9000 * MILLIS);
-    core.connected(now, late, 2);
+    core.onConnected(now, late, 2);
     pass(2700 * MILLIS);
     assertEquals("both may have run", 0, count("reject"));
     pass(200 * MILLIS);
     assertEquals(List.of("fail 1", "fail 2"),
         commandLog.stream().filter(line -> line.startsWith("fail")).sorted().toList());
     assertTrue(stopped[0]);
-    assertEquals(0, core.size());
+    assertEquals(0, core.invocationCount());
   }
 
   @Test
   public void endOfStopStartsNoAttemptsAndRejectsInvocationsThatNeverRan() {
-    start(Effect.UNSAFE, 9);
+    start(Effect.NON_IDEMPOTENT, 9);
     core.stop(now, false, () -> { });
     pass(430 * MILLIS);
     request(3, 9000 * MILLIS);
@@ -260,22 +260,22 @@
     pass(1000 * MILLIS);
     assertEquals(attempts, count("dial"));
     assertEquals(0, count("forward"));
-    assertEquals(0, core.size());
+    assertEquals(0, core.invocationCount());
   }
 
   @Test
   public void upAndDeadlineInEitherOrderGiveOneAnswer() {
     for (boolean upFirst : new boolean[] {true, false}) {
-      CrossingsTest fixture = new CrossingsTest();
-      fixture.start(Effect.SAFE, 1);
+      EventOrderTest fixture = new EventOrderTest();
+      fixture.start(Effect.IDEMPOTENT, 1);
       long invocation = fixture.request(7, 400 * MILLIS);
-      fixture.core.connected(fixture.now, invocation, 1);
+      fixture.core.onConnected(fixture.now, invocation, 1);
       fixture.pass(250 * MILLIS);
       if (upFirst) {
-        fixture.core.up(fixture.now, invocation, 1);
+        fixture.core.onUp(fixture.now, invocation, 1);
       }
       fixture.pass(250 * MILLIS); // past the deadline
-      fixture.core.up(fixture.now, invocation, 1); // again, or too late
+      fixture.core.onUp(fixture.now, invocation, 1); // again, or too late
       assertEquals("relayed or rejected, not both", upFirst ? 1 : 0, fixture.count("join 7"));
       assertEquals(upFirst ? 0 : 1, fixture.count("reject 7"));
       assertEquals(0, fixture.count("fail"));
@@ -286,22 +286,22 @@
   @Test
   public void upAndClientDisconnectInEitherOrderGiveNoAnswer() {
     for (boolean upFirst : new boolean[] {true, false}) {
-      CrossingsTest fixture = new CrossingsTest();
-      fixture.start(Effect.UNSAFE, 2);
+      EventOrderTest fixture = new EventOrderTest();
+      fixture.start(Effect.NON_IDEMPOTENT, 2);
       long invocation = fixture.request(7, 2000 * MILLIS);
-      fixture.core.connected(fixture.now, invocation, 1);
+      fixture.core.onConnected(fixture.now, invocation, 1);
       if (upFirst) {
-        fixture.core.up(fixture.now, invocation, 1);
+        fixture.core.onUp(fixture.now, invocation, 1);
       }
-      fixture.core.clientLeft(fixture.now, invocation);
-      fixture.core.up(fixture.now, invocation, 1);
-      fixture.core.callEnded(fixture.now, invocation, 1, Outcome.RESET);
-      fixture.core.ended(fixture.now, invocation, 1, Outcome.SERVED);
+      fixture.core.onClientDisconnected(fixture.now, invocation);
+      fixture.core.onUp(fixture.now, invocation, 1);
+      fixture.core.onAttemptFailed(fixture.now, invocation, 1, Outcome.RESET);
+      fixture.core.onConnectionEnded(fixture.now, invocation, 1, Outcome.SERVED);
       fixture.pass(3000 * MILLIS);
       assertEquals(upFirst ? 1 : 0, fixture.count("join"));
       assertEquals("no answer to a disconnected client", 0, fixture.count("reject") + fixture.count("fail"));
       assertEquals("no further attempt for it", 1, fixture.count("dial"));
-      assertEquals(0, fixture.core.size());
+      assertEquals(0, fixture.core.invocationCount());
     }
   }
 }
--- a/proxy/src/test/java/amberhoist/decide/RulesTest.java
+++ b/proxy/src/test/java/amberhoist/decide/BalancerInvariantsTest.java
@@ -1,18 +1,18 @@
 package amberhoist.decide;
 
-import static amberhoist.decide.Bench.MS;
-import static amberhoist.decide.Bench.S;
+import static amberhoist.decide.BalancerHarness.MILLIS;
+import static amberhoist.decide.BalancerHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import amberhoist.decide.Balancer.DedupScope;
 import amberhoist.decide.Balancer.Effect;
-import amberhoist.decide.Balancer.ListKind;
+import amberhoist.decide.Balancer.ListUpdateKind;
 import amberhoist.decide.Balancer.Outcome;
 import amberhoist.decide.Balancer.Request;
-import amberhoist.decide.Balancer.Scope;
 import amberhoist.decide.Balancer.Server;
-import amberhoist.decide.Balancer.State;
+import amberhoist.decide.Balancer.ServerState;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -33,7 +33,7 @@
  *   <li>A cold server gets no more setups than its warm-up budget allows.
  * </ol>
  */
-class RulesTest {
+class BalancerInvariantsTest {
   /** State of one request as the test drives it. */
   private static final class TrackedRequest {
     Request request;
@@ -49,7 +49,7 @@
     long timeoutAt;
   }
 
-  private final Bench harness = new Bench();
+  private final BalancerHarness harness = new BalancerHarness();
   private final Map<Long, TrackedRequest> requests = new LinkedHashMap<>();
   private final Map<String, Server> servers = new HashMap<>();
   private final Map<String, List<Long>> coldSends = new HashMap<>();
@@ -61,18 +61,19 @@
     Random random = new Random(seed);
     List<Balancer.RequestClass> classes = new ArrayList<>();
     for (Effect effect : Effect.values()) {
-      classes.add(new Balancer.RequestClass(effect.name(), effect, Scope.CELL, 300 * MS, S, 1, 100 * MS));
+      classes.add(new Balancer.RequestClass(effect.name(), effect, DedupScope.CELL, 300 * MILLIS, SECOND, 1,
+          100 * MILLIS));
     }
     Balancer.RequestClass[] types = classes.toArray(new Balancer.RequestClass[0]);
-    harness.start(Bench.settings(false, Balancer.Value.NONE, types));
+    harness.start(BalancerHarness.settings(false, Balancer.ConnectionValue.DEFAULT, types));
     for (int i = 0; i < 8; i++) {
-      update(new Server("s" + i, "z", "k", i % 3, State.READY, 1, 0));
+      update(new Server("s" + i, "z", "k", i % 3, ServerState.READY, 1, 0));
     }
     for (int step = 0; step < 3000; step++) {
       step(random, step);
     }
     for (int i = 0; i < 400; i++) {
-      harness.pass(20 * MS);
+      harness.advance(20 * MILLIS);
       expireAttempts();
       checkActions();
     }
@@ -89,17 +90,18 @@
       progress(random);
     } else if (choice < 74) {
       int index = random.nextInt(8);
-      State state = State.values()[random.nextInt(3)];
+      ServerState state = ServerState.values()[random.nextInt(3)];
       long since = random.nextBoolean() ? harness.now : 0;
       update(new Server("s" + index, "z", "k", index % 3, state, 1, since));
     } else if (choice < 80) {
       List<TrackedRequest> open = requests.values().stream().filter(r -> r.open).toList();
       if (!open.isEmpty()) {
         TrackedRequest tracked = open.get(random.nextInt(open.size()));
-        harness.balancer.delay(harness.now, tracked.request.id(), tracked.attempts - 1, random.nextInt(200) * MS);
+        harness.balancer.onQueueingDelay(harness.now, tracked.request.id(), tracked.attempts - 1,
+            random.nextInt(200) * MILLIS);
       }
     } else {
-      harness.pass(random.nextInt(60) * MS);
+      harness.advance(random.nextInt(60) * MILLIS);
     }
     expireAttempts();
     checkActions();
@@ -110,10 +112,10 @@
     tracked.effect = Effect.values()[random.nextInt(3)];
     String group = random.nextBoolean() ? "g" + random.nextInt(5) : null;
     String client = "c" + random.nextInt(300);
-    long deadline = harness.now + 1200 * MS;
+    long deadline = harness.now + 1200 * MILLIS;
     tracked.request = new Request(step, tracked.effect.name(), null, client, deadline, 0, group, false, false);
     requests.put(tracked.request.id(), tracked);
-    harness.balancer.request(harness.now, tracked.request);
+    harness.balancer.onRequest(harness.now, tracked.request);
   }
 
   private void progress(Random random) {
@@ -125,7 +127,7 @@
     long id = tracked.request.id();
     if (!tracked.open && random.nextInt(3) > 0) {
       tracked.open = true;
-      harness.balancer.opened(harness.now, id, tracked.attempts - 1, MS);
+      harness.balancer.onEstablished(harness.now, id, tracked.attempts - 1, MILLIS);
       return;
     }
     Outcome[] failures = {Outcome.ERROR, Outcome.FULL, Outcome.TIMED_OUT, Outcome.CONNECT_FAILED, Outcome.RESET};
@@ -139,7 +141,7 @@
     tracked.open = false;
     tracked.mayHaveRun |= !outcome.neverRan;
     tracked.answered |= closed;
-    harness.balancer.ended(harness.now, tracked.request.id(), tracked.attempts - 1, outcome, MS, closed);
+    harness.balancer.onAttemptEnded(harness.now, tracked.request.id(), tracked.attempts - 1, outcome, MILLIS, closed);
     checkActions();
   }
 
@@ -149,62 +151,62 @@
       if (tracked.inFlight && !tracked.open && harness.now >= tracked.timeoutAt) {
         end(tracked, Outcome.TIMED_OUT);
       }
-      boolean overdue = !tracked.answered && !tracked.open && harness.now > tracked.request.deadline() + 60 * MS;
+      boolean overdue = !tracked.answered && !tracked.open && harness.now > tracked.request.deadline() + 60 * MILLIS;
       assertFalse(overdue, "request " + tracked.request.id() + " not answered by its deadline");
     }
   }
 
   private void update(Server server) {
     servers.put(server.name(), server);
-    harness.balancer.members(harness.now, ListKind.CHANGES, List.of(server));
+    harness.balancer.onServerList(harness.now, ListUpdateKind.CHANGES, List.of(server));
     coldSends.remove(server.name());
   }
 
   private void checkActions() {
-    for (; checkedActions < harness.acts.size(); checkedActions++) {
-      Bench.Act action = harness.acts.get(checkedActions);
-      TrackedRequest tracked = requests.get(action.request());
-      switch (action.what()) {
+    for (; checkedActions < harness.actions.size(); checkedActions++) {
+      BalancerHarness.Action action = harness.actions.get(checkedActions);
+      TrackedRequest tracked = requests.get(action.requestId());
+      switch (action.kind()) {
         case "send" -> checkSend(tracked, action);
-        case "refuse", "fail" -> checkAnswer(tracked, action.what());
+        case "refuse", "fail" -> checkAnswer(tracked, action.kind());
         case "move" -> checkMove(tracked);
         default -> { }
       }
     }
   }
 
-  private void checkSend(TrackedRequest tracked, Bench.Act action) {
+  private void checkSend(TrackedRequest tracked, BalancerHarness.Action action) {
     assertFalse(tracked.answered, "rule 1: sent after the answer");
     assertTrue(harness.now < tracked.request.deadline(), "rule 1: sent after the deadline");
     assertFalse(tracked.inFlight, "rule 2: overlapping attempts");
     Server server = servers.get(action.server());
-    assertEquals(State.READY, server.state(), "rule 3: sent to a server that is not ready");
+    assertEquals(ServerState.READY, server.state(), "rule 3: sent to a server that is not ready");
     if (tracked.mayHaveRun) {
-      assertFalse(tracked.effect == Effect.UNSAFE, "rule 2: unsafe request retried");
-      if (tracked.effect == Effect.KEYED) {
+      assertFalse(tracked.effect == Effect.NON_IDEMPOTENT, "rule 2: unsafe request retried");
+      if (tracked.effect == Effect.DEDUPLICATED) {
         assertEquals(tracked.cell, server.cell(), "rule 2: keyed request retried outside its cell");
-        assertTrue(harness.now - tracked.firstRunAt < S, "rule 2: keyed request retried after its window");
+        assertTrue(harness.now - tracked.firstRunAt < SECOND, "rule 2: keyed request retried after its window");
       }
     } else {
       tracked.cell = server.cell();
       tracked.firstRunAt = harness.now;
     }
-    if (server.since() > 0 && harness.now - server.since() < 9 * S) {
+    if (server.startedAt() > 0 && harness.now - server.startedAt() < 9 * SECOND) {
       List<Long> times = coldSends.computeIfAbsent(action.server(), name -> new ArrayList<>());
       times.add(harness.now);
-      long window = times.stream().filter(at -> harness.now - at < 3 * S).count();
+      long window = times.stream().filter(at -> harness.now - at < 3 * SECOND).count();
       // Approximates multiple x capacity x window: fewer than plain rotation would send here in that time.
       assertTrue(window <= 16, "rule 4: " + window + " setups on a cold server within its window");
     }
     tracked.attempts++;
     tracked.inFlight = true;
-    tracked.timeoutAt = Math.min(harness.now + action.amount(), tracked.request.deadline());
+    tracked.timeoutAt = Math.min(harness.now + action.micros(), tracked.request.deadline());
   }
 
   private void checkAnswer(TrackedRequest tracked, String what) {
     assertFalse(tracked.answered, "rule 1: a second answer");
     assertFalse(tracked.inFlight, "answered with an attempt in flight");
-    boolean mayReject = tracked.effect == Effect.SAFE || !tracked.mayHaveRun;
+    boolean mayReject = tracked.effect == Effect.IDEMPOTENT || !tracked.mayHaveRun;
     assertTrue(what.equals("fail") || mayReject, "rule 2: rejected a request that may have run");
     tracked.answered = true;
   }
@@ -216,24 +218,24 @@
   /** Rule 4: what forty balancers together send to a server just started stays within its warm-up budget. */
   @Test
   void manyBalancersTogetherKeepTheWarmUpBudgetOfAColdServer() {
-    List<Bench> fleet = new ArrayList<>();
+    List<BalancerHarness> fleet = new ArrayList<>();
     for (int seed = 0; seed < 40; seed++) {
-      fleet.add(Bench.safe(seed, "a", "b", "c", "d"));
+      fleet.add(BalancerHarness.withSafeRequests(seed, "a", "b", "c", "d"));
     }
     int seconds = 40;
     int startAt = 20;
     int perSecond = 2; // requests of each balancer, each finished within the second
     int[] sentToCold = new int[seconds];
     for (int second = 0; second < seconds; second++) {
-      for (Bench harness : fleet) {
+      for (BalancerHarness harness : fleet) {
         if (second == startAt) {
-          harness.change(Bench.server("cold", State.READY, harness.now));
+          harness.updateServer(BalancerHarness.server("cold", ServerState.READY, harness.now));
         }
         for (int i = 0; i < perSecond; i++) {
           long id = second * 10L + i;
-          sentToCold[second] += "cold".equals(harness.open(id, "x" + id, null)) ? 1 : 0;
-          harness.pass(S / perSecond);
-          harness.balancer.ended(harness.now, id, 0, Outcome.SERVED, 0, true);
+          sentToCold[second] += "cold".equals(harness.establish(id, "x" + id, null)) ? 1 : 0;
+          harness.advance(SECOND / perSecond);
+          harness.balancer.onAttemptEnded(harness.now, id, 0, Outcome.SERVED, 0, true);
         }
       }
     }
--- a/proxy/src/test/java/amberhoist/decide/FleetBench.java
+++ b/proxy/src/test/java/amberhoist/decide/FleetHarness.java
@@ -1,9 +1,9 @@
 package amberhoist.decide;
 
-import static amberhoist.decide.Bench.MS;
-import static amberhoist.decide.Bench.S;
+import static amberhoist.decide.BalancerHarness.MILLIS;
+import static amberhoist.decide.BalancerHarness.SECOND;
 
-import amberhoist.decide.Balancer.ListKind;
+import amberhoist.decide.Balancer.ListUpdateKind;
 import amberhoist.decide.Balancer.Outcome;
 import amberhoist.decide.Balancer.Request;
 import amberhoist.decide.Balancer.Server;
@@ -21,9 +21,9 @@
  * one after the other, and servers report their utilization. Clients pick a balancer at random and retry after a
  * rejection. All times are in microseconds.
  */
-final class FleetBench {
-  private static final long RECONNECT_MICROS = 20 * MS;
-  private static final long REPORT_DELAY_MICROS = 30 * MS;
+final class FleetHarness {
+  private static final long RECONNECT_MICROS = 20 * MILLIS;
+  private static final long REPORT_DELAY_MICROS = 30 * MILLIS;
 
   private record Event(long at, long order, Runnable task) {}
 
@@ -42,11 +42,11 @@
   private long nextOrder;
   private long nextRequestId;
   private long storeFreeAt;
-  long now = 1000 * S;
-  int opened;
-  int timedOut;
-  int refused;
-  final Map<String, List<Long>> sent = new TreeMap<>(); // times of all attempts, by server
+  long now = 1000 * SECOND;
+  int establishedCount;
+  int timedOutCount;
+  int rejectedCount;
+  final Map<String, List<Long>> sentAtByServer = new TreeMap<>(); // times of all attempts, by server
 
   /**
    * Starts a fleet.
@@ -56,7 +56,7 @@
    * @param clientRetryMicros time after which a rejected client tries again
    * @param connectionsPerServer connections at which a warm server reaches a utilization of 1
    */
-  FleetBench(int count, Settings settings, long storeCallMicros, long clientRetryMicros,
+  FleetHarness(int count, Settings settings, long storeCallMicros, long clientRetryMicros,
       int connectionsPerServer) {
     this.storeCallMicros = storeCallMicros;
     this.clientRetryMicros = clientRetryMicros;
@@ -69,44 +69,44 @@
   }
 
   /** Sends an update of these servers to all balancers; other known servers stay listed. */
-  void change(List<Server> changed) {
+  void updateServers(List<Server> changed) {
     changed.forEach(server -> servers.put(server.name(), server));
-    balancers.forEach(balancer -> balancer.members(now, ListKind.CHANGES, changed));
+    balancers.forEach(balancer -> balancer.onServerList(now, ListUpdateKind.CHANGES, changed));
   }
 
   /** Hands over {@code count} established connections of 20 groups, spread evenly over servers and balancers. */
-  void stand(int count, List<String> serverNames) {
+  void handOverConnections(int count, List<String> serverNames) {
     for (int i = 0; i < count; i++) {
       String server = serverNames.get(i % serverNames.size());
       Request request = request("client" + i);
       Balancer balancer = balancers.get(i % balancers.size());
       serverByRequest.put(request.id(), server);
       connectionCounts.merge(server, 1, Integer::sum);
-      balancer.handover(now, request, server);
-      balancer.load(now, request.id(), 0, 20 * MS);
+      balancer.onHandover(now, request, server);
+      balancer.onLoad(now, request.id(), 0, 20 * MILLIS);
     }
   }
 
   /** Submits a request of the client to a random balancer; after each rejection the client tries again. */
-  void arrive(String client) {
+  void submit(String client) {
     Request request = request(client);
-    balancers.get(random.nextInt(balancers.size())).request(now, request);
+    balancers.get(random.nextInt(balancers.size())).onRequest(now, request);
   }
 
   private Request request(String client) {
     long id = nextRequestId++;
     clientByRequest.put(id, client);
-    return new Request(id, "c", null, client, now + 1000 * MS, 0, "g" + Math.floorMod(client.hashCode(), 20),
+    return new Request(id, "c", null, client, now + 1000 * MILLIS, 0, "g" + Math.floorMod(client.hashCode(), 20),
         false, false);
   }
 
   /** Schedules a task at a time of the virtual clock; tasks of the same time run in the order of scheduling. */
-  void at(long time, Runnable task) {
+  void schedule(long time, Runnable task) {
     events.add(new Event(time, nextOrder++, task));
   }
 
   /** Advances the clock by {@code micros} and runs the tasks that fall due. */
-  void pass(long micros) {
+  void advance(long micros) {
     long end = now + micros;
     while (!events.isEmpty() && events.peek().at() <= end) {
       Event next = events.poll();
@@ -117,13 +117,13 @@
   }
 
   /** Number of established connections on a server. */
-  int standing(String server) {
+  int connectionCount(String server) {
     return connectionCounts.getOrDefault(server, 0);
   }
 
   /** The highest number of attempts that were sent to a server within any period of {@code windowMicros}. */
-  int most(String server, long windowMicros) {
-    List<Long> times = sent.getOrDefault(server, List.of());
+  int maxSentWithin(String server, long windowMicros) {
+    List<Long> times = sentAtByServer.getOrDefault(server, List.of());
     int max = 0;
     int from = 0;
     for (int to = 0; to < times.size(); to++) {
@@ -143,44 +143,44 @@
     }
 
     @Override
-    public void send(long id, String server, long timeout) {
+    public void startAttempt(long id, String server, long timeout) {
       int attempt = attemptCounts.merge(id, 1, Integer::sum) - 1;
-      sent.computeIfAbsent(server, name -> new ArrayList<>()).add(now);
+      sentAtByServer.computeIfAbsent(server, name -> new ArrayList<>()).add(now);
       storeFreeAt = Math.max(now, storeFreeAt) + storeCallMicros; // also for attempts that time out meanwhile
       long latency = storeFreeAt - now;
       if (latency > timeout) {
-        FleetBench.this.at(now + timeout, () -> {
-          timedOut++;
-          balancer.ended(now, id, attempt, Outcome.TIMED_OUT, timeout, false);
+        FleetHarness.this.schedule(now + timeout, () -> {
+          timedOutCount++;
+          balancer.onAttemptEnded(now, id, attempt, Outcome.TIMED_OUT, timeout, false);
         });
       } else {
-        FleetBench.this.at(storeFreeAt, () -> {
-          opened++;
+        FleetHarness.this.schedule(storeFreeAt, () -> {
+          establishedCount++;
           serverByRequest.put(id, server);
           connectionCounts.merge(server, 1, Integer::sum);
-          balancer.opened(now, id, attempt, latency);
-          balancer.load(now, id, attempt, 20 * MS);
+          balancer.onEstablished(now, id, attempt, latency);
+          balancer.onLoad(now, id, attempt, 20 * MILLIS);
         });
       }
     }
 
     @Override
-    public void refuse(long id, long retryAfter) {
-      refused++;
-      FleetBench.this.at(now + clientRetryMicros, () -> arrive(clientByRequest.get(id)));
+    public void reject(long id, long retryAfter) {
+      rejectedCount++;
+      FleetHarness.this.schedule(now + clientRetryMicros, () -> submit(clientByRequest.get(id)));
     }
 
     @Override
     public void fail(long id) {
-      refuse(id, 0);
+      reject(id, 0);
     }
 
     @Override
     public void move(long id) {
-      FleetBench.this.at(now + RECONNECT_MICROS, () -> {
+      FleetHarness.this.schedule(now + RECONNECT_MICROS, () -> {
         connectionCounts.merge(serverByRequest.remove(id), -1, Integer::sum);
-        balancer.ended(now, id, 0, Outcome.CANCELLED, 0, true);
-        arrive(clientByRequest.get(id));
+        balancer.onAttemptEnded(now, id, 0, Outcome.CANCELLED, 0, true);
+        submit(clientByRequest.get(id));
       });
     }
 
@@ -190,17 +190,18 @@
     }
 
     @Override
-    public void ask(String server) {
-      FleetBench.this.at(now + REPORT_DELAY_MICROS, () -> balancer.report(now, server, utilization(server)));
+    public void requestLoadReport(String server) {
+      FleetHarness.this.schedule(now + REPORT_DELAY_MICROS,
+          () -> balancer.onLoadReport(now, server, utilization(server)));
     }
 
     private double utilization(String server) {
-      return standing(server) / (connectionsPerServer * warmth(servers.get(server)));
+      return connectionCount(server) / (connectionsPerServer * capacityFraction(servers.get(server)));
     }
 
     @Override
-    public void timer(long time, long token) {
-      FleetBench.this.at(Math.max(time, now + 1), () -> balancer.timer(now, token));
+    public void scheduleTimer(long time, long token) {
+      FleetHarness.this.schedule(Math.max(time, now + 1), () -> balancer.onTimer(now, token));
     }
 
     @Override
@@ -210,8 +211,8 @@
   }
 
   /** The part of its capacity that a server has now: from 0.1 at its start, growing evenly to 1 after 28 s. */
-  double warmth(Server server) {
-    double age = server.since() == 0 ? 1 : (now - server.since()) / (28.0 * S);
+  double capacityFraction(Server server) {
+    double age = server.startedAt() == 0 ? 1 : (now - server.startedAt()) / (28.0 * SECOND);
     return Math.min(1, 0.1 + 0.9 * age);
   }
 }
--- a/proxy/src/test/java/amberhoist/decide/DefencesTest.java
+++ b/proxy/src/test/java/amberhoist/decide/SetupLimitTest.java
@@ -1,21 +1,21 @@
 package amberhoist.decide;
 
-import static amberhoist.decide.Bench.MS;
-import static amberhoist.decide.Bench.S;
-import static amberhoist.decide.Bench.server;
+import static amberhoist.decide.BalancerHarness.MILLIS;
+import static amberhoist.decide.BalancerHarness.SECOND;
+import static amberhoist.decide.BalancerHarness.server;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import amberhoist.decide.Balancer.DedupScope;
 import amberhoist.decide.Balancer.Effect;
 import amberhoist.decide.Balancer.Outcome;
 import amberhoist.decide.Balancer.RequestClass;
-import amberhoist.decide.Balancer.Scope;
-import amberhoist.decide.Balancer.State;
+import amberhoist.decide.Balancer.ServerState;
 import org.junit.jupiter.api.Test;
 
 /** Limits on the setups that one balancer sends: to cold servers, and while the shared store is overloaded. */
-class DefencesTest {
-  private static final RequestClass REQUEST_CLASS = Bench.type(Effect.SAFE, Scope.ALL);
+class SetupLimitTest {
+  private static final RequestClass REQUEST_CLASS = BalancerHarness.requestClass(Effect.IDEMPOTENT, DedupScope.ALL);
 
   /**
    * Prevents a cold server from getting no connections at all: one balancer's share of the warm-up budget is far below
@@ -25,15 +25,15 @@
   void balancersWithLessThanOneConnectionOfBudgetTogetherUseAColdServer() {
     int sent = 0;
     for (int seed = 0; seed < 100; seed++) {
-      Bench harness = Bench.safe(seed, "a", "b", "c", "d", "e", "f", "g", "h");
+      BalancerHarness harness = BalancerHarness.withSafeRequests(seed, "a", "b", "c", "d", "e", "f", "g", "h");
       for (int second = 0; second < 28; second++) {
         if (second == 20) {
-          harness.change(server("cold", State.READY, harness.now));
+          harness.updateServer(server("cold", ServerState.READY, harness.now));
         }
-        String server = harness.open(second, "x" + second, null);
+        String server = harness.establish(second, "x" + second, null);
         sent += "cold".equals(server) ? 1 : 0;
-        harness.pass(S);
-        harness.balancer.ended(harness.now, second, 0, Outcome.SERVED, 0, true);
+        harness.advance(SECOND);
+        harness.balancer.onAttemptEnded(harness.now, second, 0, Outcome.SERVED, 0, true);
       }
     }
     assertTrue(sent >= 5, "sent " + sent); // a budget rounded down to whole connections would send none
@@ -46,17 +46,17 @@
     int[] sent = new int[2];
     for (int variant = 0; variant < 2; variant++) {
       for (int seed = 0; seed < 60; seed++) {
-        Bench harness = Bench.safe(seed, "a", "b");
+        BalancerHarness harness = BalancerHarness.withSafeRequests(seed, "a", "b");
         for (int i = 0; i < 40; i++) {
           if (i == 30) {
             for (int cold = 0; cold <= 9 * variant; cold++) {
-              harness.change(server("cold" + cold, State.READY, harness.now));
+              harness.updateServer(server("cold" + cold, ServerState.READY, harness.now));
             }
           }
-          String server = harness.open(i, "x" + i, null);
+          String server = harness.establish(i, "x" + i, null);
           sent[variant] += server.startsWith("cold") ? 1 : 0;
-          harness.pass(500 * MS);
-          harness.balancer.ended(harness.now, i, 0, Outcome.SERVED, 0, true);
+          harness.advance(500 * MILLIS);
+          harness.balancer.onAttemptEnded(harness.now, i, 0, Outcome.SERVED, 0, true);
         }
       }
     }
@@ -66,14 +66,14 @@
   /** Setups that are slow on all servers show an overloaded shared store, even if each of them succeeds in the end. */
   @Test
   void setupsSlowerThanTheTargetAreThrottledLikeFailedOnes() {
-    for (long latency : new long[] {20 * MS, 400 * MS}) {
-      Bench harness = Bench.safe("a", "b", "c");
+    for (long latency : new long[] {20 * MILLIS, 400 * MILLIS}) {
+      BalancerHarness harness = BalancerHarness.withSafeRequests("a", "b", "c");
       for (long id = 1; id <= 30; id++) {
         harness.submit(id, "x" + id, "g");
-        harness.balancer.opened(harness.now, id, 0, latency);
+        harness.balancer.onEstablished(harness.now, id, 0, latency);
       }
       boolean sent = harness.submit(40, "y", "g") != null;
-      assertEquals(latency < REQUEST_CLASS.aim(), sent, "setup latency in micros: " + latency);
+      assertEquals(latency < REQUEST_CLASS.setupTargetMicros(), sent, "setup latency in micros: " + latency);
     }
   }
 }
--- a/proxy/src/test/java/amberhoist/decide/SuspensionTest.java
+++ b/proxy/src/test/java/amberhoist/decide/SuspensionTest.java
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberhoist.decide.Balancer.ListKind;
+import amberhoist.decide.Balancer.ListUpdateKind;
 import amberhoist.decide.Balancer.Outcome;
 import amberhoist.decide.Balancer.Server;
-import amberhoist.decide.Balancer.State;
+import amberhoist.decide.Balancer.ServerState;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -19,78 +19,79 @@
 /** Servers that an operator suspends and resumes. */
 class SuspensionTest {
   private static Server ready(String name) {
-    return Bench.server(name, State.READY, 0);
+    return BalancerHarness.server(name, ServerState.READY, 0);
   }
 
   /** Establishes 20 connections and checks that none goes to the server. */
-  private static void assertNotUsed(Bench harness, String server, long firstId) {
+  private static void assertNotUsed(BalancerHarness harness, String server, long firstId) {
     for (long id = firstId; id < firstId + 20; id++) {
-      assertNotEquals(server, harness.open(id, "k" + id, null));
+      assertNotEquals(server, harness.establish(id, "k" + id, null));
     }
   }
 
   @Test
   void suspendedServerGetsNoRequestsWhateverTheServerListSays() {
-    Bench harness = Bench.safe("a", "b", "c");
+    BalancerHarness harness = BalancerHarness.withSafeRequests("a", "b", "c");
     harness.balancer.suspend(harness.now, "a");
     assertNotUsed(harness, "a", 100);
-    harness.change(ready("a"));
+    harness.updateServer(ready("a"));
     assertNotUsed(harness, "a", 200);
-    harness.full("a", "b", "c");
+    harness.replaceWithReady("a", "b", "c");
     assertNotUsed(harness, "a", 300);
-    harness.full("b", "c");
-    harness.pass(Policy.SWEEP);
-    harness.full("a", "b", "c"); // removed from the list and listed again
+    harness.replaceWithReady("b", "c");
+    harness.advance(Policy.SWEEP_INTERVAL_MICROS);
+    harness.replaceWithReady("a", "b", "c"); // removed from the list and listed again
     assertNotUsed(harness, "a", 400);
-    harness.change(Bench.server("a", State.READY, harness.now)); // restarted while suspended
+    harness.updateServer(BalancerHarness.server("a", ServerState.READY, harness.now)); // restarted while suspended
     assertNotUsed(harness, "a", 500);
-    harness.balancer.members(harness.now, ListKind.STALE, List.of(ready("a"), ready("b")));
+    harness.balancer.onServerList(harness.now, ListUpdateKind.STALE, List.of(ready("a"), ready("b")));
     harness.balancer.configure(harness.now,
-        Bench.settings(false, Bench.type(Balancer.Effect.SAFE, Balancer.Scope.ALL)));
+        BalancerHarness.settings(false,
+        BalancerHarness.requestClass(Balancer.Effect.IDEMPOTENT, Balancer.DedupScope.ALL)));
     assertNotUsed(harness, "a", 600);
-    assertTrue(harness.balancer.avoids(harness.now, "a"));
-    assertFalse(harness.balancer.avoids(harness.now, "b"));
+    assertTrue(harness.balancer.isExcluded(harness.now, "a"));
+    assertFalse(harness.balancer.isExcluded(harness.now, "b"));
   }
 
   @Test
   void serverSuspendedBeforeItIsListedStaysSuspended() {
-    Bench harness = Bench.safe("b", "c");
+    BalancerHarness harness = BalancerHarness.withSafeRequests("b", "c");
     harness.balancer.suspend(harness.now, "a");
-    harness.full("a", "b", "c");
+    harness.replaceWithReady("a", "b", "c");
     assertNotUsed(harness, "a", 100);
   }
 
   @Test
   void connectionsOfASuspendedServerAreMovedAtAnEvenPace() {
-    Bench harness = Bench.safe("a");
+    BalancerHarness harness = BalancerHarness.withSafeRequests("a");
     for (long id = 0; id < 200; id++) {
-      assertEquals("a", harness.open(id, "k" + id, null));
+      assertEquals("a", harness.establish(id, "k" + id, null));
     }
-    harness.full("a", "b");
+    harness.replaceWithReady("a", "b");
     harness.balancer.suspend(harness.now, "a");
-    harness.pass(Policy.CLEAR / 2);
+    harness.advance(Policy.SUSPEND_DRAIN_MICROS / 2);
     long half = harness.count("move");
     assertTrue(half > 60 && half < 140, half + " of 200 moved after half the time");
-    harness.pass(Policy.CLEAR / 2 + 2 * Policy.LOOK);
+    harness.advance(Policy.SUSPEND_DRAIN_MICROS / 2 + 2 * Policy.SCAN_INTERVAL_MICROS);
     assertEquals(200, harness.count("move"));
   }
 
   @Test
   void setupInFlightOnASuspendedServerFinishesAndIsThenMoved() {
-    Bench harness = Bench.safe("a");
+    BalancerHarness harness = BalancerHarness.withSafeRequests("a");
     assertEquals("a", harness.submit(1, "k", null));
-    harness.full("a", "b");
+    harness.replaceWithReady("a", "b");
     harness.balancer.suspend(harness.now, "a");
-    harness.pass(Policy.CLEAR);
+    harness.advance(Policy.SUSPEND_DRAIN_MICROS);
     assertEquals(0, harness.count("move"));
-    harness.balancer.opened(harness.now, 1, 0, 10 * Bench.MS);
-    harness.pass(2 * Policy.LOOK);
+    harness.balancer.onEstablished(harness.now, 1, 0, 10 * BalancerHarness.MILLIS);
+    harness.advance(2 * Policy.SCAN_INTERVAL_MICROS);
     assertEquals(1, harness.count("move", 1));
   }
 
   @Test
   void requestsAreRejectedAtOnceWhenAllServersAreSuspended() {
-    Bench harness = Bench.safe("a", "b");
+    BalancerHarness harness = BalancerHarness.withSafeRequests("a", "b");
     harness.balancer.suspend(harness.now, "a");
     harness.balancer.suspend(harness.now, "b");
     assertNull(harness.submit(1, "k", null));
@@ -103,44 +104,44 @@
     for (int i = 0; i < 60; i++) {
       names.add("s" + i);
     }
-    Bench harness = Bench.safe(names.toArray(new String[0]));
+    BalancerHarness harness = BalancerHarness.withSafeRequests(names.toArray(new String[0]));
     harness.balancer.suspend(harness.now, "s7");
     harness.balancer.suspend(harness.now, "s7"); // suspended twice, one resume is enough
     harness.balancer.resume(harness.now, "s7");
     Set<String> used = new HashSet<>();
     for (long id = 0; id < 10; id++) {
-      harness.pass(Policy.CLEAR / 8);
-      used.add(harness.open(id, "k" + id, "g" + id));
+      harness.advance(Policy.SUSPEND_DRAIN_MICROS / 8);
+      used.add(harness.establish(id, "k" + id, "g" + id));
     }
     assertTrue(used.contains("s7"), used.toString());
   }
 
   @Test
   void resumedServerIsColdAndItsEarlierFailuresAreForgotten() {
-    Bench harness = Bench.safe("a");
+    BalancerHarness harness = BalancerHarness.withSafeRequests("a");
     for (long id = 0; id < 5; id++) { // consecutive failures
       harness.submit(id, "k" + id, null);
       harness.failAttempt(id, 0, Outcome.CONNECT_FAILED);
-      harness.pass(10 * Bench.S);
+      harness.advance(10 * BalancerHarness.SECOND);
     }
     harness.balancer.suspend(harness.now, "a");
     harness.balancer.resume(harness.now, "a");
-    assertFalse(harness.balancer.avoids(harness.now, "a"));
-    harness.pass(Policy.CLEAR);
+    assertFalse(harness.balancer.isExcluded(harness.now, "a"));
+    harness.advance(Policy.SUSPEND_DRAIN_MICROS);
     int sent = 0;
     for (long id = 100; id < 160; id++) { // a warm server would take all of them
-      sent += harness.open(id, "k" + id, null) == null ? 0 : 1;
+      sent += harness.establish(id, "k" + id, null) == null ? 0 : 1;
     }
     assertTrue(sent >= 1 && sent < 20, sent + " to a cold server at once");
   }
 
   @Test
   void resumingAServerThatIsNotSuspendedHasNoEffect() {
-    Bench harness = Bench.safe("a");
+    BalancerHarness harness = BalancerHarness.withSafeRequests("a");
     harness.balancer.resume(harness.now, "a");
     harness.balancer.resume(harness.now, "nobody");
     for (long id = 0; id < 30; id++) {
-      assertEquals("a", harness.open(id, "k" + id, null), "it is still warm");
+      assertEquals("a", harness.establish(id, "k" + id, null), "it is still warm");
     }
   }
 }
--- a/proxy/src/test/java/amberhoist/front/line/LineReportsTest.java
+++ b/proxy/src/test/java/amberhoist/front/line/LoadReportFetcherTest.java
@@ -6,19 +6,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class LineReportsTest {
+class LoadReportFetcherTest {
   @Test
   void theLoadIsFoundByItsNameWhereverItStands() {
-    assertEquals(1.25, LineReports.heat("PONG load_share=1,concurrent=12.5,x0=1.25"));
-    assertEquals(0, LineReports.heat("PONG x0=0,load_share=0"));
+    assertEquals(1.25, LoadReportFetcher.parseUtilization("PONG load_share=1,concurrent=12.5,x0=1.25"));
+    assertEquals(0, LoadReportFetcher.parseUtilization("PONG x0=0,load_share=0"));
   }
 
   @Test
   void whatIsNoReportTellsNothing() {
     for (String answer : List.of("", "PONG", "PONG ", "ERR", "NO", "ERR x0=0.5", "PONG x0=", "PONG x0=hot",
         "PONG x0=-1", "PONG x0=NaN", "PONG x0=1e999", "PONG x01=2", "PONG load_share=0.5")) {
-      assertTrue(Double.isNaN(LineReports.heat(answer)), answer);
+      assertTrue(Double.isNaN(LoadReportFetcher.parseUtilization(answer)), answer);
     }
-    assertTrue(Double.isNaN(LineReports.heat(null)), "no CRLF");
+    assertTrue(Double.isNaN(LoadReportFetcher.parseUtilization(null)), "no CRLF");
   }
 }
--- a/proxy/src/test/java/amberhoist/log/LogTest.java
+++ b/proxy/src/test/java/amberhoist/log/LogTest.java
@@ -51,16 +51,16 @@
     List<String> lines = lines(() -> {
       for (int i = 0; i < flood; i++) {
         nanos += SECOND / 10_000;
-        log.tell(Event.CLIENT_MALFORMED, "no OPEN", "peer", "/127.0.0.1:" + i);
+        log.log(Event.CLIENT_MALFORMED, "no OPEN", "peer", "/127.0.0.1:" + i);
       }
     });
     assertTrue(lines.size() >= 50 && lines.size() <= 20 + 5 * 10, lines.size() + " lines");
-    assertEquals(flood - lines.size(), log.suppressed(), "every line is told or counted");
+    assertEquals(flood - lines.size(), log.suppressedLines(), "every line is told or counted");
     assertTrue(lines.get(30).contains("suppressed="), lines.get(30));
-    List<String> rest = lines(log::tellSuppressed);
+    List<String> rest = lines(log::logSuppressed);
     assertEquals(1, rest.size());
     assertTrue(rest.get(0).contains("event=log.suppressed") && rest.get(0).contains("of=client.malformed"));
-    assertEquals(List.of(), lines(log::tellSuppressed), "told once");
+    assertEquals(List.of(), lines(log::logSuppressed), "told once");
   }
 
   @Test
@@ -68,11 +68,11 @@
     EventLog log = log(1, 1);
     List<String> lines = lines(() -> {
       for (int i = 0; i < 100; i++) {
-        log.tell(Event.CLIENT_MALFORMED, "no OPEN");
+        log.log(Event.CLIENT_MALFORMED, "no OPEN");
       }
-      log.tell(Event.PROVIDER_SILENT, "silent");
+      log.log(Event.PROVIDER_SILENT, "silent");
       for (int i = 0; i < 3; i++) {
-        log.tell(Event.CONFIG_REFUSED, "not limited: an operator brought it about");
+        log.log(Event.CONFIG_REFUSED, "not limited: an operator brought it about");
       }
     });
     assertEquals(5, lines.size());
@@ -80,7 +80,7 @@
 
   @Test
   void whatAClientSentCannotMakeALineOfItsOwnOrALongOne() {
-    List<String> lines = lines(() -> log(5, 5).tell(Event.CLIENT_MALFORMED, "x\r\nERROR forged\u001b[31m",
+    List<String> lines = lines(() -> log(5, 5).log(Event.CLIENT_MALFORMED, "x\r\nERROR forged\u001b[31m",
         "peer", "y".repeat(1_000_000)));
     assertEquals(1, lines.size());
     assertTrue(lines.get(0).length() < 5000);
@@ -104,12 +104,12 @@
         written.add(new String(bytes, StandardCharsets.UTF_8));
       }
     };
-    BoundedOutput output = new BoundedOutput(pipe, 100, told::add);
+    BoundedOutputStream output = new BoundedOutputStream(pipe, 100, told::add);
     byte[] line = "123456789\n".getBytes(StandardCharsets.UTF_8);
     for (int i = 0; i < 1000; i++) {
       output.write(line, 0, line.length); // returns, or this test never ends
     }
-    long dropped = output.dropped();
+    long dropped = output.droppedWrites();
     assertTrue(dropped >= 1000 - 11 && dropped <= 1000 - 10, dropped + " dropped"); // one may be at the pipe
     may.release(1000);
     long sum = 0;
@@ -130,7 +130,7 @@
     LoggingEvent event = new LoggingEvent("", context.getLogger("amberhoist.call"), Level.INFO,
         "a \"call\" ended\n", new IllegalStateException("x"), new Object[0]);
     event.setKeyValuePairs(List.of(new KeyValuePair("event", "call.ended"), new KeyValuePair("invocation", 7L)));
-    String line = JsonLines.line(event);
+    String line = JsonLines.toJsonLine(event);
     assertEquals(1, line.lines().count());
     JsonNode read = new ObjectMapper().readTree(line);
     assertEquals("call.ended", read.path("event").asText());
--- a/proxy/src/test/java/amberhoist/mgmt/CallParserTest.java
+++ b/proxy/src/test/java/amberhoist/mgmt/RequestParserTest.java
@@ -11,39 +11,39 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class CallParserTest {
-  private static CallParser read(String text, int piece) {
-    CallParser parser = new CallParser();
+class RequestParserTest {
+  private static RequestParser read(String text, int piece) {
+    RequestParser parser = new RequestParser();
     byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
     for (int at = 0; at < bytes.length; at += piece) {
-      parser.take(ByteBuffer.wrap(bytes, at, Math.min(piece, bytes.length - at)));
+      parser.feed(ByteBuffer.wrap(bytes, at, Math.min(piece, bytes.length - at)));
     }
     return parser;
   }
 
   @Test
   void aCallIsReadInWhateverPiecesItComes() {
-    Map<String, Call> calls = Map.of(
-        "GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n", new Call("GET", List.of("v1", "readyz")),
-        "\r\nGET /v1/metrics?all=1#x HTTP/1.0\n\n", new Call("GET", List.of("v1", "metrics")),
-        "GET http://h:1/v1/readyz HTTP/1.1\r\n\r\n", new Call("GET", List.of("v1", "readyz")),
+    Map<String, ManagementRequest> calls = Map.of(
+        "GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n", new ManagementRequest("GET", List.of("v1", "readyz")),
+        "\r\nGET /v1/metrics?all=1#x HTTP/1.0\n\n", new ManagementRequest("GET", List.of("v1", "metrics")),
+        "GET http://h:1/v1/readyz HTTP/1.1\r\n\r\n", new ManagementRequest("GET", List.of("v1", "readyz")),
         "PUT /v1/viewer-hosts/s%2d5%C3%A9%2F/suspend HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}",
-        new Call("PUT", List.of("v1", "viewer-hosts", "s-5\u00e9/", "suspend")));
+        new ManagementRequest("PUT", List.of("v1", "viewer-hosts", "s-5\u00e9/", "suspend")));
     calls.forEach((text, call) -> {
       for (int piece : List.of(1, 2, 7, text.length())) {
-        CallParser parser = read(text, piece);
-        assertTrue(parser.done(), text);
-        assertEquals(call, parser.call(), text);
-        assertNull(parser.fault(), text);
+        RequestParser parser = read(text, piece);
+        assertTrue(parser.isDone(), text);
+        assertEquals(call, parser.request(), text);
+        assertNull(parser.errorResponse(), text);
       }
     });
   }
 
   @Test
   void theBodyIsLeftInTheBuffer() {
-    CallParser parser = new CallParser();
+    RequestParser parser = new RequestParser();
     ByteBuffer in = ByteBuffer.wrap("PUT / HTTP/1.1\r\n\r\n{}".getBytes(StandardCharsets.ISO_8859_1));
-    parser.take(in);
+    parser.feed(in);
     assertEquals(2, in.remaining());
   }
 
@@ -54,19 +54,19 @@
         "GET /a%2 HTTP/1.1\r\n\r\n", "GET /a%zz HTTP/1.1\r\n\r\n", "GET /%ff HTTP/1.1\r\n\r\n",
         "GET /\u00e9 HTTP/1.1\r\n\r\n", "GET / HTTP/1.1\r\nno colon\r\n\r\n", "GET / HTTP/1.1\r\n: x\r\n\r\n",
         "GET  / HTTP/1.1\r\n\r\n", "OPEN a b c=d\r\n\r\n")) {
-      CallParser parser = read(text, text.length());
-      assertNull(parser.call(), text);
-      assertEquals(400, parser.fault().status(), text);
+      RequestParser parser = read(text, text.length());
+      assertNull(parser.request(), text);
+      assertEquals(400, parser.errorResponse().status(), text);
     }
-    CallParser cut = read("GET / HTTP/1.1\r\nHost", 3);
-    assertFalse(cut.done());
-    cut.ended();
-    assertEquals(400, cut.fault().status());
+    RequestParser cut = read("GET / HTTP/1.1\r\nHost", 3);
+    assertFalse(cut.isDone());
+    cut.onEndOfInput();
+    assertEquals(400, cut.errorResponse().status());
   }
 
   @Test
   void aHeadWithoutEndIsRefusedBeforeItGrows() {
-    CallParser parser = read("GET / HTTP/1.1\r\nX: " + "y".repeat(CallParser.LONGEST), 1000);
-    assertEquals(431, parser.fault().status());
+    RequestParser parser = read("GET / HTTP/1.1\r\nX: " + "y".repeat(RequestParser.MAX_HEAD_BYTES), 1000);
+    assertEquals(431, parser.errorResponse().status());
   }
 }
--- a/proxy/src/test/java/amberhoist/net/LoopTest.java
+++ b/proxy/src/test/java/amberhoist/net/LoopTest.java
@@ -15,13 +15,13 @@
   @Test
   void afterAStallWhatHasComeGoesAheadOfTheTimersOnce() throws Exception {
     List<String> order = Collections.synchronizedList(new ArrayList<>());
-    Loop loop = new Loop(fault -> order.add(fault.toString()), late -> { });
+    EventLoop loop = new EventLoop(fault -> order.add(fault.toString()), late -> { });
     CountDownLatch held = new CountDownLatch(1);
     CountDownLatch go = new CountDownLatch(1);
     CountDownLatch fired = new CountDownLatch(2);
     loop.post(() -> {
       for (int i = 0; i < 2; i++) {
-        loop.wheel().arm(loop.now() + Loop.TICK, at -> {
+        loop.timerWheel().arm(loop.now() + EventLoop.TICK_MICROS, at -> {
           order.add("timer");
           fired.countDown();
         });
@@ -43,17 +43,17 @@
   /** Timers must not wait for a process that is late at each tick. */
   @Test
   void timersFireAlthoughEachTickComesLate() throws Exception {
-    Loop loop = new Loop(fault -> { }, late -> { });
+    EventLoop loop = new EventLoop(fault -> { }, late -> { });
     CountDownLatch fired = new CountDownLatch(1);
     busy(loop, fired);
     busy(loop, fired); // one waits whenever one runs
-    loop.post(() -> loop.wheel().arm(loop.now() + Loop.TICK, at -> fired.countDown()));
+    loop.post(() -> loop.timerWheel().arm(loop.now() + EventLoop.TICK_MICROS, at -> fired.countDown()));
     fired.await();
     loop.close();
   }
 
   /** Keeps the loop busy, in tasks longer than what counts as a stall, until this has happened. */
-  private static void busy(Loop loop, CountDownLatch until) {
+  private static void busy(EventLoop loop, CountDownLatch until) {
     loop.post(() -> {
       for (long end = loop.now() + 30_000; loop.now() < end;) {
         Thread.onSpinWait();
--- a/proxy/src/test/java/amberhoist/service/CrossingStoriesTest.java
+++ b/proxy/src/test/java/amberhoist/service/CrossingStoriesTest.java
@@ -171,9 +171,10 @@
   @Test
   public void whatADirectoryHasIsKnownWithinTheTimeAfterWhichItCountsAsTold() {
     WatchTiming times = WatchTiming.DEFAULT;
-    long most = times.firstAnswer() + 2 * times.pauseMost(); // a call never answered, and the longest pause
+    // a call never answered, and the longest pause
+    long most = times.firstLineTimeoutMicros() + 2 * times.maxPauseMicros();
     assertTrue("and a second for the next answer", most + 1_000_000 <= 6_000_000);
-    assertTrue(times.silence() + 2 * times.pauseMost() + 1_000_000 <= 6_000_000);
+    assertTrue(times.silenceTimeoutMicros() + 2 * times.maxPauseMicros() + 1_000_000 <= 6_000_000);
   }
 
   @Test
--- a/proxy/src/test/java/amberhoist/service/ManagementStoriesTest.java
+++ b/proxy/src/test/java/amberhoist/service/ManagementStoriesTest.java
@@ -29,7 +29,7 @@
   }
 
   private static Socket caller(Service service) throws Exception {
-    Socket socket = new Socket(InetAddress.getLoopbackAddress(), service.doorAddress().getPort());
+    Socket socket = new Socket(InetAddress.getLoopbackAddress(), service.managementAddress().getPort());
     socket.setSoTimeout(Peers.PATIENCE);
     return socket;
   }
@@ -132,7 +132,7 @@
       peers.service.loop().post(() -> await(answered)); // what came before the call would never end
       try (Socket socket = caller(peers)) {
         send(socket, "GET /v1/metrics HTTP/1.1\r\n\r\n");
-        while (peers.service.loop().waitingAhead() == 0) {
+        while (peers.service.loop().urgentTaskCount() == 0) {
           Thread.onSpinWait();
         }
         go.countDown();
--- a/proxy/src/test/java/amberhoist/service/Peers.java
+++ b/proxy/src/test/java/amberhoist/service/Peers.java
@@ -207,7 +207,7 @@
         await(go);
       });
       await(held);
-      waiting = service.loop().waiting();
+      waiting = service.loop().queuedTaskCount();
     }
 
     private static void await(CountDownLatch latch) {
@@ -222,7 +222,7 @@
     Hold next() {
       waiting++;
       long end = System.nanoTime() + PATIENCE * 1_000_000L;
-      while (service.loop().waiting() < waiting) {
+      while (service.loop().queuedTaskCount() < waiting) {
         assertTrue("nothing comes", System.nanoTime() < end);
         Thread.onSpinWait();
       }
--- a/proxy/src/test/java/amberhoist/upgrade/HandoverTest.java
+++ b/proxy/src/test/java/amberhoist/upgrade/UpgradeRecordTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberhoist.upgrade.Handover.Member;
-import amberhoist.upgrade.HandoverCodec.Unreadable;
+import amberhoist.upgrade.UpgradeRecord.Member;
+import amberhoist.upgrade.UpgradeRecordCodec.UnreadableRecordException;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The record that the processes of an upgrade share, and its file. */
-class HandoverTest {
-  private static final Handover RECORD = new Handover(Set.of("s-1", "s \"2\" \u00e9"),
+class UpgradeRecordTest {
+  private static final UpgradeRecord RECORD = new UpgradeRecord(Set.of("s-1", "s \"2\" \u00e9"),
       List.of(new Member("a", 11, true, 40), new Member("b", 12, false, 0)), Map.of("k1", "s-1", "k\"", "s-2"));
 
   @TempDir
@@ -29,8 +29,8 @@
 
   private final List<String> told = new ArrayList<>();
 
-  private HandoverFile file() {
-    return new HandoverFile(folder, told::add);
+  private UpgradeRecordFile file() {
+    return new UpgradeRecordFile(folder, told::add);
   }
 
   private Path path() {
@@ -39,37 +39,39 @@
 
   @Test
   void aRecordIsReadAsItWasWritten() throws Exception {
-    assertEquals(RECORD, HandoverCodec.read(HandoverCodec.write(RECORD)));
-    assertEquals(Handover.EMPTY, HandoverCodec.read(HandoverCodec.write(Handover.EMPTY)));
+    assertEquals(RECORD, UpgradeRecordCodec.decode(UpgradeRecordCodec.encode(RECORD)));
+    assertEquals(UpgradeRecord.EMPTY, UpgradeRecordCodec.decode(UpgradeRecordCodec.encode(UpgradeRecord.EMPTY)));
   }
 
   @Test
   void whatIsCutShortAnywhereIsNoRecord() {
-    byte[] whole = HandoverCodec.write(RECORD);
+    byte[] whole = UpgradeRecordCodec.encode(RECORD);
     for (int length = 0; length < whole.length; length++) {
       byte[] part = Arrays.copyOf(whole, length);
-      assertThrows(Unreadable.class, () -> HandoverCodec.read(part), new String(part, StandardCharsets.UTF_8));
+      assertThrows(UnreadableRecordException.class, () -> UpgradeRecordCodec.decode(part),
+          new String(part, StandardCharsets.UTF_8));
     }
     for (String text : List.of("[]", "{\"suspended\":[]}", "{\"version\":1,\"more\":[1]}", "{\"version\":1}x",
         "{\"version\":1,\"suspended\":[3]}", "{\"version\":1,\"members\":[{\"pid\":1}]}", "{\"version\":\"1\"}",
         "{\"version\":1,\"bindings\":{\"k\":3}}", "{\"version\":1,\"bindings\":[]}")) {
-      assertThrows(Unreadable.class, () -> HandoverCodec.read(text.getBytes(StandardCharsets.UTF_8)), text);
+      assertThrows(UnreadableRecordException.class,
+          () -> UpgradeRecordCodec.decode(text.getBytes(StandardCharsets.UTF_8)), text);
     }
   }
 
   @Test
   void aProcessThatStartedLaterAndServesIsASuccessor() {
-    assertFalse(RECORD.succeeded("a"), "the later one does not serve yet");
-    Handover ready = RECORD.with(new Member("b", 12, true, 9));
-    assertTrue(ready.succeeded("a"));
-    assertFalse(ready.succeeded("b"), "the one before it is none");
-    assertFalse(ready.keeping(member -> member.pid() != 12).succeeded("a"), "one that died is none");
+    assertFalse(RECORD.hasSuccessor("a"), "the later one does not serve yet");
+    UpgradeRecord ready = RECORD.with(new Member("b", 12, true, 9));
+    assertTrue(ready.hasSuccessor("a"));
+    assertFalse(ready.hasSuccessor("b"), "the one before it is none");
+    assertFalse(ready.filterMembers(member -> member.pid() != 12).hasSuccessor("a"), "one that died is none");
   }
 
   @Test
   void changesOfTwoProcessesAreBothKept() throws Exception {
-    HandoverFile first = file();
-    HandoverFile second = file();
+    UpgradeRecordFile first = file();
+    UpgradeRecordFile second = file();
     first.update(record -> record.with("x", true));
     assertEquals(Set.of("x"), second.read().suspended());
     second.update(record -> record.with("y", true));
@@ -82,7 +84,7 @@
   /** Guards against calling back what was taken out because a file was spoilt or lost. */
   @Test
   void aSpoiltOrLostFileLeavesAllAsItWasAndIsTold() throws Exception {
-    HandoverFile file = file();
+    UpgradeRecordFile file = file();
     file.update(record -> record.with("x", true));
     Files.writeString(path(), "{\"version\":1,\"susp");
     assertEquals(Set.of("x"), file.read().suspended());
@@ -96,8 +98,8 @@
   @Test
   void aFileOfANewerVersionIsLeftAndOneOfAnOlderIsReplaced() throws Exception {
     Files.writeString(path(), "{\"version\":2,\"all\":\"different\"}");
-    HandoverFile file = file();
-    assertEquals(Handover.EMPTY, file.read());
+    UpgradeRecordFile file = file();
+    assertEquals(UpgradeRecord.EMPTY, file.read());
     assertThrows(IOException.class, () -> file.update(record -> record.with("x", true)));
     assertTrue(Files.readString(path()).contains("different"));
     Files.writeString(path(), "{\"version\":0}");
@@ -106,8 +108,8 @@
 
   @Test
   void aFolderThatCannotBeWrittenIsAFaultAndNothingElse() {
-    HandoverFile file = new HandoverFile(folder.resolve("nowhere"), told::add);
-    assertEquals(Handover.EMPTY, file.read());
+    UpgradeRecordFile file = new UpgradeRecordFile(folder.resolve("nowhere"), told::add);
+    assertEquals(UpgradeRecord.EMPTY, file.read());
     assertThrows(IOException.class, () -> file.update(record -> record));
   }
 }
